--- a/internal/front/simnet_test.go
+++ b/internal/front/simnet_test.go
@@ -183,8 +183,10 @@
 	case l.accepts <- far:
 		return near, nil
 	case <-l.closed:
+		far.Close()
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
+		far.Close()
 		return nil, ctx.Err()
 	}
 }
