--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -13,164 +13,168 @@
 	"pearlanding/internal/pause"
 )
 
-// answerLoads answers another zone's relay.
+// answerLoads answers the relay of another zone.
 func (n *Node) answerLoads(context.Context) (LoadsReply, error) {
 	now := n.now()
-	n.share.loads.note(n.word(now), now)
-	near, _ := n.share.loads.daemons(now)
-	return LoadsReply{n.share.loads.zone(now), n.share.loads.standing(now), near}, nil
+	n.share.loads.note(n.shareRequest(now), now)
+	zoneDaemons, _ := n.share.loads.countDaemons(now)
+	return LoadsReply{n.share.loads.zoneTotal(now), n.share.loads.stalledGroups(now), zoneDaemons}, nil
 }
 
-// word is what this daemon tells of its own requests.
-func (n *Node) word(now time.Time) ShareRequest {
-	stopped, alive := n.o.Traffic.Progress(now)
-	if len(stopped) > reportMost {
-		stopped = nil // it is probably cut off itself
+// shareRequest returns this daemon's report of its own requests.
+func (n *Node) shareRequest(now time.Time) ShareRequest {
+	stalled, active := n.opts.Traffic.Progress(now)
+	if len(stalled) > maxReported {
+		stalled = nil // this daemon is probably cut off itself
 	}
-	return ShareRequest{From: n.o.Holder, Loads: n.o.Traffic.InFlight(), Stopped: toRefs(stopped), Alive: toRefs(alive), Standing: n.o.Standing(now)}
+	return ShareRequest{From: n.opts.Holder, Loads: n.opts.Traffic.InFlight(), StalledGroups: toRefs(stalled), ActiveGroups: toRefs(active), StalledInstances: n.opts.Standing(now)}
 }
 
 // answerShare answers a peer.
 func (n *Node) answerShare(_ context.Context, r ShareRequest) (ShareReply, error) {
-	reply, sum, err := n.shared(r)
+	reply, sum, err := n.mergeShare(r)
 	reply.Loads = sum.loads
 	return reply, err
 }
 
-// answerShareEncoded is answerShare for the wire: all peers get the same bytes.
+// answerShareEncoded is answerShare for the wire: all peers get the same encoded bytes of the
+// loads.
 func (n *Node) answerShareEncoded(_ context.Context, r ShareRequest) (encodedShare, error) {
-	reply, sum, err := n.shared(r)
+	reply, sum, err := n.mergeShare(r)
 	return encodedShare{sum.encoded, reply}, err
 }
 
-// shared takes in a peer's word. It returns the answer without loads, and these.
-func (n *Node) shared(r ShareRequest) (ShareReply, loadSum, error) {
+// mergeShare records a peer's report. It returns the answer without loads, and the loads
+// separately.
+func (n *Node) mergeShare(r ShareRequest) (ShareReply, totalLoad, error) {
 	if !n.relaying() {
-		return ShareReply{}, loadSum{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
+		return ShareReply{}, totalLoad{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
 	}
-	now, rule := n.now(), n.o.Traffic.Rule()
+	now, rule := n.now(), n.opts.Traffic.Rule()
 	n.share.loads.note(r, now)
-	if len(r.Standing) > 0 {
-		n.reports.note(r.From, r.Standing, now)
+	if len(r.StalledInstances) > 0 {
+		n.reports.note(r.From, r.StalledInstances, now)
 	}
-	n.share.pool.Put(r.Repeats, rule, now)
-	_, daemons := n.share.loads.daemons(now)
-	sum, err := n.share.loads.all(now)
-	return ShareReply{Repeats: n.share.pool.Levels(rule, now), Standing: n.share.loads.allStanding(now), Daemons: daemons,
-		Limits: n.o.Gate.Updates(now), Quarantine: n.hot()}, sum, err
+	n.share.pool.Put(r.Retries, rule, now)
+	_, daemons := n.share.loads.countDaemons(now)
+	sum, err := n.share.loads.total(now)
+	return ShareReply{Retries: n.share.pool.Levels(rule, now), StalledGroups: n.share.loads.allStalledGroups(now), Daemons: daemons,
+		Limits: n.opts.Gate.Updates(now), QuarantineSeq: n.clusterWideSeq()}, sum, err
 }
 
-// Exchange tells this daemon's load to the others and learns theirs: through its relay, or
-// as a relay from those of the other zones.
+// Exchange sends this daemon's load to the others and receives theirs: through its relay, or,
+// on a relay, from the relays of the other zones.
 type Exchange struct {
 	Node *Node
-	List func(ctx context.Context) (objectapi.Listing, error) // of all zones' records
+	List func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
 
-	listed time.Time
+	listedAt time.Time
 }
 
 // Run exchanges loads until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
-	tick := time.NewTicker(shareEvery)
+	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			x.once(ctx)
-		case <-x.Node.o.Traffic.Stops:
-			x.once(ctx)
-			tick.Reset(shareEvery)
-			pause.For(ctx, stopsApart)
-		case <-x.Node.o.Gate.Changed():
-			x.once(ctx)
-			tick.Reset(shareEvery)
-			pause.For(ctx, stopsApart)
+			x.runOnce(ctx)
+		case <-x.Node.opts.Traffic.Stops:
+			x.runOnce(ctx)
+			tick.Reset(shareInterval)
+			pause.For(ctx, minReportInterval)
+		case <-x.Node.opts.Gate.Changed():
+			x.runOnce(ctx)
+			tick.Reset(shareInterval)
+			pause.For(ctx, minReportInterval)
 		}
 	}
 }
 
-// stopsApart is the least time between two words that streams stopped. Told at once, a group
-// that stands is known to the relay half of shareEvery sooner in the mean.
-const stopsApart = 50 * time.Millisecond
+// minReportInterval is the minimum time between two reports of stalled streams. Reported at once
+// instead of with the next exchange, a stalled group is known to the relay earlier by half of
+// shareInterval on average.
+const minReportInterval = 50 * time.Millisecond
 
-// once makes one exchange.
-func (x *Exchange) once(ctx context.Context) {
+// runOnce makes one exchange.
+func (x *Exchange) runOnce(ctx context.Context) {
 	n := x.Node
 	now := n.now()
-	if n.Serving() || n.Holding() && !n.o.Gate.Quiet() {
-		x.list(ctx, now)
+	if n.Serving() || n.Holding() && !n.opts.Gate.Quiet() {
+		x.refreshRelays(ctx, now)
 	}
 	timed, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	wait.Go(func() { x.limits(timed) })
+	wait.Go(func() { x.syncLimits(timed) })
 	if n.Serving() {
-		n.share.pool.Put(n.o.Traffic.Spare(now), n.o.Traffic.Rule(), now)
-		x.ask(timed)
+		n.share.pool.Put(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
+		x.collectZoneLoads(timed)
 		return
 	}
 	if relay, _ := n.share.current(now); relay != "" {
-		x.tell(timed, relay, now)
+		x.shareWithRelay(timed, relay, now)
 	}
 }
 
-// tell tells the relay this daemon's load, and takes in that of the others.
-func (x *Exchange) tell(ctx context.Context, relay string, now time.Time) {
+// shareWithRelay sends this daemon's load to the relay and merges the loads of the others from
+// the reply.
+func (x *Exchange) shareWithRelay(ctx context.Context, relay string, now time.Time) {
 	n := x.Node
-	word := n.word(now)
-	word.Repeats = n.o.Traffic.Spare(now)
-	r, err := n.o.Peers.Share(ctx, relay, word)
+	request := n.shareRequest(now)
+	request.Retries = n.opts.Traffic.Spare(now)
+	r, err := n.opts.Peers.Share(ctx, relay, request)
 	if err != nil {
-		if n.o.Direct() {
-			n.share.asked(relay, true) // whoever plans follows through no relay, and misses none otherwise
+		if n.opts.Direct() {
+			n.share.setSyncDue(relay, true) // the planner polls no relay, so nothing else would notice a missed update
 		}
-		return // the last word counts until it is old; who follows through this relay finds that it is gone
+		return // the last report counts until it expires; a daemon that polls this relay notices the loss there
 	}
-	n.share.told(r.Repeats, n.now())
-	n.o.Gate.Merge(r.Limits, backpressure.ReceivedAt{Earliest: now, Latest: n.now()})
-	n.hear(relay, r.Quarantine)
-	n.o.Traffic.Loaded(dispatch.Others{Daemons: r.Daemons, InFlight: without(r.Loads, word.Loads), Standing: toSet(r.Standing)}, n.now())
+	n.share.setLevels(r.Retries, n.now())
+	n.opts.Gate.Merge(r.Limits, backpressure.ReceivedAt{Earliest: now, Latest: n.now()})
+	n.noteClusterWideSeq(relay, r.QuarantineSeq)
+	n.opts.Traffic.Loaded(dispatch.Others{Daemons: r.Daemons, InFlight: subtract(r.Loads, request.Loads), Standing: toSet(r.StalledGroups)}, n.now())
 }
 
-// list looks now and then who the relays are.
-func (x *Exchange) list(ctx context.Context, now time.Time) {
-	if now.Sub(x.listed) <= relayList {
+// refreshRelays lists the relays if the last listing is older than relayListInterval.
+func (x *Exchange) refreshRelays(ctx context.Context, now time.Time) {
+	if now.Sub(x.listedAt) <= relayListInterval {
 		return
 	}
 	if l, err := x.List(ctx); err == nil {
-		x.Node.listed(l)
+		x.Node.noteRecords(l)
 	}
-	x.listed = now // an error is counted with the store's calls; the old list stays
+	x.listedAt = now // an error is counted with the store's calls; the old list stays
 }
 
-// ask asks all other relays at a time.
-func (x *Exchange) ask(ctx context.Context) {
+// collectZoneLoads asks all other relays in parallel.
+func (x *Exchange) collectZoneLoads(ctx context.Context) {
 	n := x.Node
-	relays := n.relays()
-	replies := make([]LoadsReply, len(relays))
+	addresses := n.otherRelays()
+	replies := make([]LoadsReply, len(addresses))
 	var wait sync.WaitGroup
-	for i, address := range relays {
+	for i, address := range addresses {
 		wait.Go(func() {
-			if r, err := n.o.Peers.Loads(ctx, address); err == nil {
-				replies[i] = r // a zone without a word counts as idle until its next one
+			if r, err := n.opts.Peers.ZoneLoads(ctx, address); err == nil {
+				replies[i] = r // a zone without a reply counts as idle until its next one
 			}
 		})
 	}
 	wait.Wait()
-	far := map[string]int{}
-	var standing []groupRef
+	remote := map[string]int{}
+	var stalled []groupRef
 	daemons := 0
 	for _, r := range replies {
 		daemons += r.Daemons
-		addTo(far, r.Loads)
-		standing = append(standing, r.Standing...)
+		addTo(remote, r.Loads)
+		stalled = append(stalled, r.StalledGroups...)
 	}
 	now := n.now()
-	n.share.loads.noteFar(far, standing, daemons)
-	n.share.loads.note(n.word(now), now)
-	_, all := n.share.loads.daemons(now)
-	n.o.Traffic.Loaded(dispatch.Others{Daemons: all, InFlight: n.share.loads.others(n.o.Holder, now), Standing: toSet(n.share.loads.allStanding(now))}, now)
+	n.share.loads.setRemote(remote, stalled, daemons)
+	n.share.loads.note(n.shareRequest(now), now)
+	_, all := n.share.loads.countDaemons(now)
+	n.opts.Traffic.Loaded(dispatch.Others{Daemons: all, InFlight: n.share.loads.totalExcept(n.opts.Holder, now), Standing: toSet(n.share.loads.allStalledGroups(now))}, now)
 }
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -9,82 +9,84 @@
 	"pearlanding/internal/objectapi"
 )
 
-// removalsMost bounds how many removals are remembered: an engine that ends leaves one,
-// and a peer that is further behind than so many lists from the store. An object that
-// lives takes one place however often it changes.
-const removalsMost = 2048
+// maxRemovals bounds how many removals are remembered: each instance that ends leaves one, and
+// a peer that is further behind lists from the store. A live object takes one place however
+// often it changes.
+const maxRemovals = 2048
 
 // configProof is the newest version of the configuration that a read showed.
 type configProof struct {
-	seq     uint64 // rises with each read
-	version uint64 // of the store's object
-	proved  time.Time
+	seq      uint64 // incremented by each read
+	version  uint64 // of the store's object
+	provedAt time.Time
 }
 
-// hole is a span of revisions, both ends excluded, of which only the result is known.
-type hole struct{ from, to uint64 }
+// unknownSpan is a span of revisions, both ends excluded, of which only the resulting state is
+// known.
+type unknownSpan struct{ from, to uint64 }
 
-// holesMost bounds the holes that are remembered; a daemon that plans lists now and then.
-const holesMost = 16
+// maxUnknownSpans bounds the spans that are remembered; the planner adds one with each listing
+// that it makes.
+const maxUnknownSpans = 16
 
-// history is what a daemon can tell its peers of the entries: of each object its latest
-// change. A list of all changes would be overrun while the groups of many instances form, and
-// each peer would list the store anew. Safe for concurrent use; time is passed in.
+// history holds what a daemon can send its peers about the entries: the latest change of each
+// object. A list of all changes would overflow while the groups of many instances form, and
+// each peer would list the store again. Safe for concurrent use; time is passed in.
 type history struct {
-	mu       sync.Mutex
-	known    bool
-	complete bool // latest holds every object that lives, not only those that changed
-	latest   map[string]objectapi.Event
-	removals int    // in latest
-	base     uint64 // revision from which on all changes are known
-	end      uint64 // revision up to which they are
-	holes    []hole // within: what was made and removed again is not known
-	proved   time.Time
-	config   configProof
-	packed   map[uint64][]byte // answers made of the state as it is, by revision asked for
-	news     chan struct{}     // closed at the next change
+	mu           sync.Mutex
+	known        bool
+	complete     bool // latest holds every live object, not only those that changed
+	latest       map[string]objectapi.Event
+	removals     int           // number of removals in latest
+	base         uint64        // revision from which on all changes are known
+	end          uint64        // revision up to which all changes are known
+	unknownSpans []unknownSpan // between base and end; objects created and removed within are unknown
+	provedAt     time.Time
+	config       configProof
+	packedAfter  map[uint64][]byte // answers for the current state, by the revision asked for
+	changed      chan struct{}     // closed at the next change
 }
 
 func newHistory() *history {
-	return &history{latest: map[string]objectapi.Event{}, packed: map[uint64][]byte{}, news: make(chan struct{})}
+	return &history{latest: map[string]objectapi.Event{}, packedAfter: map[uint64][]byte{}, changed: make(chan struct{})}
 }
 
-// begin starts anew with what is known at a revision; h.mu is held.
-func (h *history) begin(objects []objectapi.Object, revision uint64, complete bool) {
-	h.known, h.complete, h.base, h.end, h.removals, h.holes = true, complete, revision, revision, 0, nil
+// reset starts over with the objects known at a revision; h.mu is held.
+func (h *history) reset(objects []objectapi.Object, revision uint64, complete bool) {
+	h.known, h.complete, h.base, h.end, h.removals, h.unknownSpans = true, complete, revision, revision, 0, nil
 	h.latest = make(map[string]objectapi.Event, len(objects))
 	for _, o := range objects {
 		h.latest[o.Key] = objectapi.Event{Object: o}
 	}
 }
 
-// seeded takes a listing that may be old, as a start: it proves nothing.
-func (h *history) seeded(l objectapi.Listing) {
+// seed starts from a listing that may be stale; it proves nothing.
+func (h *history) seed(l objectapi.Listing) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.known && h.end >= l.Revision {
 		return
 	}
-	h.begin(l.Objects, l.Revision, true)
-	h.wake()
+	h.reset(l.Objects, l.Revision, true)
+	h.invalidate()
 }
 
-// listed takes a listing as of now. What came before is kept where all objects were known:
-// those that the listing lacks were removed since.
-func (h *history) listed(l objectapi.Listing, asked time.Time) {
+// applyListing merges a listing that is current. Earlier changes are kept if all objects were
+// known: those missing from the listing were removed since.
+func (h *history) applyListing(l objectapi.Listing, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.complete || l.Revision < h.end {
-		h.begin(l.Objects, l.Revision, true)
+		h.reset(l.Objects, l.Revision, true)
 	} else {
-		h.compare(l)
+		h.mergeListing(l)
 	}
-	h.proved = latest(h.proved, asked)
-	h.wake()
+	h.provedAt = laterOf(h.provedAt, asked)
+	h.invalidate()
 }
 
-// compare notes what changed up to a listing; h.mu is held.
-func (h *history) compare(l objectapi.Listing) {
+// mergeListing records what changed up to a listing; h.mu is held.
+func (h *history) mergeListing(l objectapi.Listing) {
 	present := make(map[string]bool, len(l.Objects))
 	for _, o := range l.Objects {
 		present[o.Key] = true
@@ -96,30 +98,30 @@
 		}
 	}
 	if l.Revision > h.end {
-		h.open(hole{h.end, l.Revision})
+		h.addUnknownSpan(unknownSpan{h.end, l.Revision})
 	}
 	h.end = max(h.end, l.Revision)
 }
 
-// open notes a hole; h.mu is held.
-func (h *history) open(o hole) {
-	h.holes = append(h.holes, o)
-	if len(h.holes) > holesMost {
-		h.base = max(h.base, h.holes[0].to)
-		h.holes = h.holes[1:]
+// addUnknownSpan adds a span, and drops the oldest one beyond the limit; h.mu is held.
+func (h *history) addUnknownSpan(span unknownSpan) {
+	h.unknownSpans = append(h.unknownSpans, span)
+	if len(h.unknownSpans) > maxUnknownSpans {
+		h.base = max(h.base, h.unknownSpans[0].to)
+		h.unknownSpans = h.unknownSpans[1:]
 	}
 }
 
-// skipped notes that of the changes between two revisions only the result is known.
-func (h *history) skipped(from, to uint64) {
+// noteSkipped records that only the result of the changes between two revisions is known.
+func (h *history) noteSkipped(from, to uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.open(hole{from, to})
+	h.addUnknownSpan(unknownSpan{from, to})
 }
 
-// difference returns what leads from the known objects to those of a listing; false: not every
-// object is known.
-func (h *history) difference(l objectapi.Listing) (events []objectapi.Event, known bool) {
+// diff returns the changes that lead from the known objects to those of a listing. known is
+// false if not every object is known.
+func (h *history) diff(l objectapi.Listing) (events []objectapi.Event, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.known || !h.complete {
@@ -140,14 +142,14 @@
 	return events, true
 }
 
-// followed takes in the changes after a revision, as they were at a time.
-func (h *history) followed(after uint64, c objectapi.Changes, proved time.Time) {
+// applyChanges merges the changes after a revision, as proved at a time.
+func (h *history) applyChanges(after uint64, c objectapi.Changes, proved time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.known || after > h.end {
-		h.begin(nil, after, false)
+		h.reset(nil, after, false)
 	}
-	h.proved = latest(h.proved, proved)
+	h.provedAt = laterOf(h.provedAt, proved)
 	if len(c.Events) == 0 {
 		return
 	}
@@ -155,11 +157,11 @@
 		h.put(e)
 	}
 	h.end = max(h.end, c.Revision)
-	h.forget()
-	h.wake()
+	h.pruneRemovals()
+	h.invalidate()
 }
 
-// put notes a change unless a later one of the same object is known; h.mu is held.
+// put records a change unless a later one of the same object is known; h.mu is held.
 func (h *history) put(e objectapi.Event) {
 	old, known := h.latest[e.Object.Key]
 	if known && old.Object.Version >= e.Object.Version {
@@ -174,9 +176,10 @@
 	h.latest[e.Object.Key] = e
 }
 
-// forget drops the older half of the removals when they are too many; h.mu is held.
-func (h *history) forget() {
-	if h.removals <= removalsMost {
+// pruneRemovals drops the older half of the removals when they exceed maxRemovals; h.mu is
+// held.
+func (h *history) pruneRemovals() {
+	if h.removals <= maxRemovals {
 		return
 	}
 	var versions []uint64
@@ -195,54 +198,55 @@
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// noteConfig takes in a read of the configuration.
+// noteConfig records a read of the configuration.
 func (h *history) noteConfig(version uint64, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.config = configProof{h.config.seq + 1, version, asked}
-	h.wakeAll()
+	h.notifyLocked()
 }
 
-// wake lets everyone look again at what has changed; h.mu is held.
-func (h *history) wake() {
-	clear(h.packed)
-	h.wakeAll()
+// invalidate drops packed answers and wakes all waiters; h.mu is held.
+func (h *history) invalidate() {
+	clear(h.packedAfter)
+	h.notifyLocked()
 }
 
-// nudge lets everyone look again, though no entry changed.
-func (h *history) nudge() {
+// notify wakes all waiters although no entry changed.
+func (h *history) notify() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wakeAll()
+	h.notifyLocked()
 }
 
-func (h *history) wakeAll() {
-	close(h.news)
-	h.news = make(chan struct{})
+func (h *history) notifyLocked() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-// after returns the latest change of each object that changed after a revision, in their
-// order, with the revision that they lead to. gap: what was removed since is not known.
-func (h *history) after(revision uint64) (events []objectapi.Event, end uint64, gap bool) {
+// changesAfter returns the latest change of each object that changed after a revision, in order
+// of revision, and the revision that they lead to. gap: removals since then are not known.
+func (h *history) changesAfter(revision uint64) (events []objectapi.Event, end uint64, gap bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.since(revision)
+	return h.changesAfterLocked(revision)
 }
 
-// since is after; h.mu is held.
-func (h *history) since(revision uint64) (events []objectapi.Event, end uint64, gap bool) {
+// changesAfterLocked is changesAfter; h.mu is held.
+func (h *history) changesAfterLocked(revision uint64) (events []objectapi.Event, end uint64, gap bool) {
 	if !h.hasAllAfterLocked(revision) {
 		return nil, 0, true
 	}
 	for _, e := range h.latest {
-		// Beyond the end lies what a listing's later pages showed: it is told again.
+		// A listing's later pages can show changes beyond the end; these are sent later, when
+		// the watch reaches them.
 		if e.Object.Version > revision && e.Object.Version <= h.end {
 			events = append(events, e)
 		}
@@ -251,8 +255,8 @@
 	return events, max(h.end, revision), false
 }
 
-// snapshot returns every object that lives, as it was at a revision or later; false: not every
-// one is known.
+// snapshot returns every live object, as of a revision or later. known is false if not every
+// object is known.
 func (h *history) snapshot() (events []objectapi.Event, revision uint64, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -268,7 +272,7 @@
 	return events, h.end, true
 }
 
-// size returns the bytes of all entries that are known.
+// size returns the bytes of all known entries.
 func (h *history) size() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -279,7 +283,7 @@
 	return size
 }
 
-// hasAllAfter tells whether all changes after a revision are known.
+// hasAllAfter reports whether all changes after a revision are known.
 func (h *history) hasAllAfter(revision uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -288,40 +292,40 @@
 
 // hasAllAfterLocked is hasAllAfter; h.mu is held.
 func (h *history) hasAllAfterLocked(revision uint64) bool {
-	inHole := func(o hole) bool { return o.from < revision && revision < o.to }
-	return h.known && revision >= h.base && !slices.ContainsFunc(h.holes, inHole)
+	isWithin := func(span unknownSpan) bool { return span.from < revision && revision < span.to }
+	return h.known && revision >= h.base && !slices.ContainsFunc(h.unknownSpans, isWithin)
 }
 
-// told is an answer to a peer.
-type told struct {
+// packedChanges is an answer to a peer.
+type packedChanges struct {
 	changes []byte // packed; nil: none
 	end     uint64 // revision that they lead to
 	gap     bool
 }
 
-// tell returns what came after a revision as one answer. Peers that keep up ask for the
-// same, which is packed once for all of them.
-func (h *history) tell(revision uint64) (told, error) {
+// packChangesAfter returns the changes after a revision as one answer. Peers that keep up ask
+// for the same revision, which is packed once for all of them.
+func (h *history) packChangesAfter(revision uint64) (packedChanges, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if changes, ok := h.packed[revision]; ok {
-		return told{changes: changes, end: max(h.end, revision)}, nil
+	if changes, ok := h.packedAfter[revision]; ok {
+		return packedChanges{changes: changes, end: max(h.end, revision)}, nil
 	}
-	events, end, gap := h.since(revision)
+	events, end, gap := h.changesAfterLocked(revision)
 	if gap || len(events) == 0 {
-		return told{end: end, gap: gap}, nil
+		return packedChanges{end: end, gap: gap}, nil
 	}
 	changes, err := pack(events)
 	if err != nil {
-		return told{}, err
+		return packedChanges{}, err
 	}
-	h.packed[revision] = changes
-	return told{changes: changes, end: end}, nil
+	h.packedAfter[revision] = changes
+	return packedChanges{changes: changes, end: end}, nil
 }
 
-// state returns what is proved, and a channel that is closed when it changes.
-func (h *history) state() (entries time.Time, config configProof, news <-chan struct{}) {
+// proofs returns the times of the newest proofs, and a channel that is closed when they change.
+func (h *history) proofs() (entries time.Time, config configProof, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.proved, h.config, h.news
+	return h.provedAt, h.config, h.changed
 }
--- a/internal/relay/history_test.go
+++ b/internal/relay/history_test.go
@@ -27,86 +27,86 @@
 	return l
 }
 
-func TestHistoryTellsWhatCameAfter(t *testing.T) {
+func TestHistoryReturnsChangesAfterRevision(t *testing.T) {
 	h := newHistory()
-	_, _, gap := h.after(5)
+	_, _, gap := h.changesAfter(5)
 	must.True(t, gap, must.Sprint("nothing is known yet"))
-	h.listed(listing(5), start)
-	h.followed(5, objectapi.Changes{Events: []objectapi.Event{event("a", 7)}, Revision: 9}, start)
-	events, end, gap := h.after(5)
+	h.applyListing(listing(5), start)
+	h.applyChanges(5, objectapi.Changes{Events: []objectapi.Event{event("a", 7)}, Revision: 9}, start)
+	events, end, gap := h.changesAfter(5)
 	must.False(t, gap)
 	must.Eq(t, 9, end)
 	must.Len(t, 1, events)
-	events, end, gap = h.after(9)
+	events, end, gap = h.changesAfter(9)
 	must.False(t, gap)
 	must.Eq(t, 9, end)
 	must.SliceEmpty(t, events)
-	_, _, gap = h.after(4)
+	_, _, gap = h.changesAfter(4)
 	must.True(t, gap, must.Sprint("what came before the listing is not known"))
 }
 
-// An asker that is ahead, as it asked the store itself, is told nothing old.
-func TestHistoryOfARelayThatIsBehind(t *testing.T) {
+// A peer that is ahead, because it asked the store itself, is sent nothing old.
+func TestHistoryReturnsNothingToPeerAhead(t *testing.T) {
 	h := newHistory()
-	h.listed(listing(5), start)
-	events, end, gap := h.after(8)
+	h.applyListing(listing(5), start)
+	events, end, gap := h.changesAfter(8)
 	must.False(t, gap)
 	must.SliceEmpty(t, events)
 	must.Eq(t, 8, end)
 }
 
-// An object that changes often takes one place; it is told once, as it is.
-func TestHistoryTellsEachObjectOnce(t *testing.T) {
+// An object that changes often takes one place and is sent once, in its latest state.
+func TestHistoryReturnsEachObjectOnce(t *testing.T) {
 	h := newHistory()
-	h.listed(listing(0), start)
+	h.applyListing(listing(0), start)
 	for i := range uint64(5000) {
-		h.followed(i, objectapi.Changes{Events: []objectapi.Event{event("a", i+1)}, Revision: i + 1}, start)
+		h.applyChanges(i, objectapi.Changes{Events: []objectapi.Event{event("a", i+1)}, Revision: i + 1}, start)
 	}
-	events, end, gap := h.after(5)
+	events, end, gap := h.changesAfter(5)
 	must.False(t, gap)
 	must.Eq(t, 5000, end)
 	must.Eq(t, []objectapi.Event{event("a", 5000)}, events)
 }
 
-// Removals are the one thing that grows; the oldest are forgotten, and who lacks them lists.
-func TestHistoryForgetsTheOldestRemovals(t *testing.T) {
+// Only removals grow; the oldest are forgotten, and a peer that is missing them must list.
+func TestHistoryPrunesOldestRemovals(t *testing.T) {
 	h := newHistory()
-	h.listed(listing(0), start)
+	h.applyListing(listing(0), start)
 	revision := uint64(0)
-	for i := range removalsMost + 10 {
+	for i := range maxRemovals + 10 {
 		for _, removed := range []bool{false, true} {
 			e := event(fmt.Sprint("k", i), revision+1)
 			e.Removed = removed
-			h.followed(revision, objectapi.Changes{Events: []objectapi.Event{e}, Revision: revision + 1}, start)
+			h.applyChanges(revision, objectapi.Changes{Events: []objectapi.Event{e}, Revision: revision + 1}, start)
 			revision++
 		}
 	}
-	must.LessEq(t, removalsMost, len(h.latest))
-	_, _, gap := h.after(5)
+	must.LessEq(t, maxRemovals, len(h.latest))
+	_, _, gap := h.changesAfter(5)
 	must.True(t, gap)
-	events, _, gap := h.after(revision - 20)
+	events, _, gap := h.changesAfter(revision - 20)
 	must.False(t, gap)
 	must.Len(t, 10, events)
 }
 
-// A listing's later pages show changes from after its revision. Told before the store's
-// own order brings them, they would be told again and again.
-func TestHistoryTellsNothingBeyondItsEnd(t *testing.T) {
+// A listing's later pages show changes from after its revision. Sent before the watch reaches
+// them, they would be sent again and again.
+func TestHistoryReturnsNothingBeyondItsEnd(t *testing.T) {
 	h := newHistory()
 	l := listing(1, "a")
 	l.Objects = append(l.Objects, objectapi.Object{Key: "b", Version: 4})
-	h.listed(l, start)
-	events, end, _ := h.after(1)
+	h.applyListing(l, start)
+	events, end, _ := h.changesAfter(1)
 	must.SliceEmpty(t, events)
 	must.Eq(t, 1, end)
-	h.followed(1, objectapi.Changes{Events: []objectapi.Event{event("b", 4)}, Revision: 4}, start)
-	events, _, _ = h.after(1)
+	h.applyChanges(1, objectapi.Changes{Events: []objectapi.Event{event("b", 4)}, Revision: 4}, start)
+	events, _, _ = h.changesAfter(1)
 	must.Len(t, 1, events)
 }
 
-// Whoever applies what the history tells knows what the store held, whatever
-// batches the relay saw and wherever its following broke off.
-func TestHistoryLeadsToTheStoresState(t *testing.T) {
+// A peer that applies the changes reaches the store's state, whatever batches the relay
+// received and wherever its watch was interrupted.
+func TestHistoryLeadsToStoreState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory()
 		type change struct {
@@ -116,7 +116,7 @@
 		stateAt := func(revision uint64) map[string]uint64 {
 			out := map[string]uint64{}
 			for _, c := range log[:revision] {
-				applyTo(out, c.e)
+				applyEvent(out, c.e)
 			}
 			return out
 		}
@@ -129,13 +129,13 @@
 				for key, version := range stateAt(followed) {
 					l.Objects = append(l.Objects, objectapi.Object{Key: key, Version: version})
 				}
-				h.listed(l, start)
+				h.applyListing(l, start)
 			case 1, 2, 3:
 				var events []objectapi.Event
 				for _, c := range log[followed:] {
 					events = append(events, c.e)
 				}
-				h.followed(followed, objectapi.Changes{Events: events, Revision: uint64(len(log))}, start)
+				h.applyChanges(followed, objectapi.Changes{Events: events, Revision: uint64(len(log))}, start)
 				if len(events) > 0 {
 					followed = uint64(len(log))
 				}
@@ -146,20 +146,20 @@
 			}
 		}
 		for r := range uint64(len(log) + 1) {
-			events, end, gap := h.after(r)
+			events, end, gap := h.changesAfter(r)
 			if gap {
 				continue
 			}
 			got := stateAt(r)
 			for _, e := range events {
-				applyTo(got, e)
+				applyEvent(got, e)
 			}
 			must.Eq(t, stateAt(end), got, must.Sprint("from ", r, " to ", end))
 		}
 	})
 }
 
-func applyTo(state map[string]uint64, e objectapi.Event) {
+func applyEvent(state map[string]uint64, e objectapi.Event) {
 	if e.Removed {
 		delete(state, e.Object.Key)
 	} else {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -13,101 +13,104 @@
 	"pearlanding/internal/objectapi"
 )
 
-// methodLimits exchanges what two daemons know of instances that limit their requests.
+// methodLimits exchanges what two daemons know of instances that limit their request rate.
 const methodLimits = "relay.limits"
 
-// LimitsRequest tells what the asker knows of limits, and may ask for permits.
+// LimitsRequest carries the limits known to the caller, and may ask for permits.
 type LimitsRequest struct {
-	From    string                `json:"from"` // the asker, unique for each life of a process
-	Updates []backpressure.Update `json:"words,omitempty"`
-	Permits bool                  `json:"permits,omitempty"`
+	From        string                `json:"from"` // identifies the caller, unique for each process
+	Updates     []backpressure.Update `json:"words,omitempty"`
+	WantPermits bool                  `json:"permits,omitempty"`
 }
 
-// LimitsReply is what the daemon knows after it, and the permits for the asker.
+// LimitsReply carries the limits that the daemon knows after merging the request, and the
+// permits granted to the caller.
 type LimitsReply struct {
 	Updates []backpressure.Update  `json:"words,omitempty"`
 	Permits []backpressure.Permits `json:"permits,omitempty"`
 }
 
-// answerLimits answers another daemon, in touch with the store or not.
+// answerLimits answers another daemon, whether or not this one reaches the store.
 func (n *Node) answerLimits(_ context.Context, r LimitsRequest) (LimitsReply, error) {
-	gate, now := n.o.Gate, n.now()
-	if r.Permits && !n.granting() {
+	gate, now := n.opts.Gate, n.now()
+	if r.WantPermits && !n.grantsPermits() {
 		return LimitsReply{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
 	}
 	gate.Merge(r.Updates, backpressure.ReceivedAt{Earliest: now.Add(-shareTimeout), Latest: now})
 	out := LimitsReply{Updates: gate.Updates(now)}
-	if r.Permits {
-		out.Permits = n.grants.Grant(r.From, gate.Limited(), n.shares(), now)
+	if r.WantPermits {
+		out.Permits = n.grants.Grant(r.From, gate.Limited(), n.permitShares(), now)
 	}
 	return out, nil
 }
 
-// granting tells whether this daemon grants permits: it holds its zone's record, and no listing
-// since names another one. One that was cut off holds it for long after.
-func (n *Node) granting() bool {
-	own := n.ownRelay()
-	return n.Holding() && (own == "" || own == n.o.Address)
+// grantsPermits reports whether this daemon grants permits: it is the relay in its zone's
+// record as far as it knows, and no later listing names another one. A relay that was cut off
+// would otherwise keep granting long after it was replaced.
+func (n *Node) grantsPermits() bool {
+	relay := n.zoneRelay()
+	return n.Holding() && (relay == "" || relay == n.opts.Address)
 }
 
-// shares tells which part of limits this daemon's zone grants.
-func (n *Node) shares() backpressure.Shares {
-	n.known.mu.Lock()
-	defer n.known.mu.Unlock()
-	return backpressure.Shares{Domain: zoneOf(n.o.Key), Domains: n.known.zones, Count: n.o.Traffic.Rule().Pools}
+// permitShares returns the share of each limit that this daemon's zone may grant.
+func (n *Node) permitShares() backpressure.Shares {
+	n.knownRelays.mu.Lock()
+	defer n.knownRelays.mu.Unlock()
+	return backpressure.Shares{Domain: zoneOfKey(n.opts.Key), Domains: n.knownRelays.zones, Count: n.opts.Traffic.Rule().Pools}
 }
 
-// zoneOf returns the zone whose record has a key.
-func zoneOf(key string) string {
+// zoneOfKey returns the zone whose record has a key.
+func zoneOfKey(key string) string {
 	_, zone, _ := strings.Cut(key, "/")
 	return zone
 }
 
-// zonesOf returns the zones whose records a listing holds.
-func zonesOf(l objectapi.Listing) []string {
+// zonesWithRelay returns, sorted, the zones whose records in a listing name a relay.
+func zonesWithRelay(l objectapi.Listing) []string {
 	var out []string
 	for _, o := range l.Objects {
 		if addressOf(o) != "" {
-			out = append(out, zoneOf(o.Key))
+			out = append(out, zoneOfKey(o.Key))
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// limits exchanges updates of limits and gets permits: from its relay, or as a relay of itself.
-func (x *Exchange) limits(ctx context.Context) {
-	n, gate := x.Node, x.Node.o.Gate
+// syncLimits exchanges limit updates and gets permits: from the zone's relay or, on a relay,
+// from itself.
+func (x *Exchange) syncLimits(ctx context.Context) {
+	n, gate := x.Node, x.Node.opts.Gate
 	asked := n.now()
 	if n.Holding() {
-		if n.granting() {
-			gate.Granted(n.grants.Grant(n.o.Holder, gate.Limited(), n.shares(), asked), asked)
+		if n.grantsPermits() {
+			gate.Granted(n.grants.Grant(n.opts.Holder, gate.Limited(), n.permitShares(), asked), asked)
 		}
 		if !gate.Quiet() {
-			n.tellLimits(ctx, gate.Updates(asked), asked)
+			n.syncLimitsWithZones(ctx, gate.Updates(asked), asked)
 		}
 		return
 	}
-	relay, _ := n.share.last()
+	relay, _ := n.share.lastAnswered()
 	if relay == "" || gate.Quiet() {
 		return
 	}
-	r, err := n.o.Peers.Limits(ctx, relay, LimitsRequest{From: n.o.Holder, Updates: gate.Updates(asked), Permits: true})
+	r, err := n.opts.Peers.SyncLimits(ctx, relay, LimitsRequest{From: n.opts.Holder, Updates: gate.Updates(asked), WantPermits: true})
 	if err != nil {
-		return // without an answer for long the gate has a pace of its own
+		return // after too long without an answer the gate falls back to its own rate
 	}
 	gate.Merge(r.Updates, backpressure.ReceivedAt{Earliest: asked, Latest: n.now()})
 	gate.Granted(r.Permits, asked)
 }
 
-// tellLimits exchanges words with all other relays at a time.
-func (n *Node) tellLimits(ctx context.Context, words []backpressure.Update, asked time.Time) {
+// syncLimitsWithZones exchanges updates with all other relays in parallel.
+func (n *Node) syncLimitsWithZones(ctx context.Context, updates []backpressure.Update, asked time.Time) {
 	var wait sync.WaitGroup
-	for _, address := range n.relays() {
+	for _, address := range n.otherRelays() {
 		wait.Go(func() {
-			r, err := n.o.Peers.Limits(ctx, address, LimitsRequest{From: n.o.Holder, Updates: words})
-			if err == nil { // a relay without an answer is told again
-				n.o.Gate.Merge(r.Updates, backpressure.ReceivedAt{Earliest: asked, Latest: n.now()})
+			r, err := n.opts.Peers.SyncLimits(ctx, address, LimitsRequest{From: n.opts.Holder, Updates: updates})
+			if err == nil { // a relay that does not answer gets the updates again
+				n.opts.Gate.Merge(r.Updates, backpressure.ReceivedAt{Earliest: asked, Latest: n.now()})
 			}
 		})
 	}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -12,20 +12,20 @@
 	"pearlanding/internal/objectapi"
 )
 
-var limited = backpressure.Life{Instance: "i-1", Born: 7}
+var limitedInstance = backpressure.Life{Instance: "i-1", Born: 7}
 
-// limits lets a daemon hear an answer that names a limit.
-func (d *daemon) limits(perSecond float64) {
-	d.o.Gate.Observe(limited, backpressure.Signals{Limit: perSecond}, d.now(), d.now())
+// receiveLimit makes a daemon observe a response that names a limit.
+func (d *daemon) receiveLimit(perSecond float64) {
+	d.opts.Gate.Observe(limitedInstance, backpressure.Signals{Limit: perSecond}, d.now(), d.now())
 }
 
-// sends plays a zone for a while and returns how many requests its daemons may send.
-func (z *zone) sends(lasts time.Duration) (n int) {
-	for range lasts / shareEvery {
-		z.pass(shareEvery)
-		z.exchange()
+// countSends runs a zone for a while and returns how many requests its daemons may send.
+func (z *zone) countSends(duration time.Duration) (n int) {
+	for range duration / shareInterval {
+		z.advance(shareInterval)
+		z.exchangeAll()
 		for _, d := range z.daemons {
-			if _, ok := d.o.Gate.Take(limited, z.now); !d.dead && ok {
+			if _, ok := d.opts.Gate.Take(limitedInstance, z.now); !d.dead && ok {
 				n++
 			}
 		}
@@ -33,56 +33,57 @@
 	return n
 }
 
-// Guards against a limit that only the daemon knows of that was told.
-func TestLimitIsToldToAllOfAZone(t *testing.T) {
-	z, relay, a, b := settled(t)
-	a.limits(2)
-	z.exchange()
-	z.exchange()
+// Guards against a limit that only the daemon that received it knows.
+func TestLimitReachesAllDaemonsOfZone(t *testing.T) {
+	z, relay, a, b := zoneWithRelay(t)
+	a.receiveLimit(2)
+	z.exchangeAll()
+	z.exchangeAll()
 	for _, d := range []*daemon{relay, a, b} {
-		must.Eq(t, map[backpressure.Life]float64{limited: 2}, d.o.Gate.Limited(), must.Sprint(d.name))
+		must.Eq(t, map[backpressure.Life]float64{limitedInstance: 2}, d.opts.Gate.Limited(), must.Sprint(d.name))
 	}
-	must.Between(t, 12, z.sends(10*time.Second), 20)
-	b.o.Gate.Observe(limited, backpressure.Signals{Conclusive: true}, z.now, z.now)
-	z.exchange()
-	z.exchange()
+	must.Between(t, 12, z.countSends(10*time.Second), 20)
+	b.opts.Gate.Observe(limitedInstance, backpressure.Signals{Conclusive: true}, z.now, z.now)
+	z.exchangeAll()
+	z.exchangeAll()
 	for _, d := range []*daemon{relay, a, b} {
-		must.MapEmpty(t, d.o.Gate.Limited(), must.Sprint(d.name))
+		must.MapEmpty(t, d.opts.Gate.Limited(), must.Sprint(d.name))
 	}
 }
 
-// Guards against a limit that the daemons of each zone take for theirs alone.
-func TestLimitIsToldToOtherZones(t *testing.T) {
-	_, relay, _, _ := settled(t)
-	other, far, c, _ := settled(t)
-	relay.limits(2)
-	relay.o.Peers, relay.o.Address = other, "here" // both name their daemons alike
-	x := &Exchange{Node: relay.Node, List: recordsOf("here", far.name, "nobody")}
-	x.once(t.Context())
-	must.Eq(t, map[backpressure.Life]float64{limited: 2}, far.o.Gate.Limited())
-	other.exchange()
-	must.Eq(t, map[backpressure.Life]float64{limited: 2}, c.o.Gate.Limited())
+// Guards against daemons of several zones that each use a whole limit for their own zone.
+func TestLimitReachesOtherZones(t *testing.T) {
+	_, relay, _, _ := zoneWithRelay(t)
+	other, remoteRelay, c, _ := zoneWithRelay(t)
+	relay.receiveLimit(2)
+	relay.opts.Peers, relay.opts.Address = other, "here" // both zones name their daemons alike
+	x := &Exchange{Node: relay.Node, List: recordsOf("here", remoteRelay.name, "nobody")}
+	x.runOnce(t.Context())
+	must.Eq(t, map[backpressure.Life]float64{limitedInstance: 2}, remoteRelay.opts.Gate.Limited())
+	other.exchangeAll()
+	must.Eq(t, map[backpressure.Life]float64{limitedInstance: 2}, c.opts.Gate.Limited())
 }
 
-// Guards against a relay that was cut off, has been replaced and goes on granting beside its
-// successor until it looks at its record.
+// Guards against a relay that was cut off and replaced, and goes on granting permits beside its
+// successor until it reads its record.
 func TestReplacedRelayGrantsNoPermits(t *testing.T) {
-	_, relay, a, b := settled(t)
-	ask := LimitsRequest{From: b.name, Permits: true}
+	_, relay, a, b := zoneWithRelay(t)
+	ask := LimitsRequest{From: b.name, WantPermits: true}
 	_, err := relay.answerLimits(t.Context(), ask)
 	must.NoError(t, err)
-	relay.Node.listed(objectapi.Listing{Objects: []objectapi.Object{{Key: recordKey, Value: fmt.Appendf(nil, `{"holder":"h","address":%q}`, a.name)}}})
+	relay.Node.noteRecords(objectapi.Listing{Objects: []objectapi.Object{{Key: recordKey, Value: fmt.Appendf(nil, `{"holder":"h","address":%q}`, a.name)}}})
 	_, err = relay.answerLimits(t.Context(), ask)
 	must.Eq(t, codeNotRelaying, jrpc2.ErrorCode(err))
 }
 
-// Guards against permits of a daemon that grants none: its zone's relay does too.
+// Guards against permits from a daemon that is not a relay: its zone's relay grants the same
+// ones.
 func TestDaemonThatDoesNotRelayGrantsNoPermits(t *testing.T) {
-	z, relay, a, b := settled(t)
-	_, err := a.answerLimits(t.Context(), LimitsRequest{From: b.name, Permits: true})
+	z, relay, a, b := zoneWithRelay(t)
+	_, err := a.answerLimits(t.Context(), LimitsRequest{From: b.name, WantPermits: true})
 	must.Eq(t, codeNotRelaying, jrpc2.ErrorCode(err))
-	a.limits(2)
-	z.exchange()
+	a.receiveLimit(2)
+	z.exchangeAll()
 	relay.dead = true
-	must.LessEq(t, 1, z.sends(3*time.Second), must.Sprint("sends without a relay"))
+	must.LessEq(t, 1, z.countSends(3*time.Second), must.Sprint("sends without a relay"))
 }
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -11,150 +11,152 @@
 	"github.com/juju/errors"
 )
 
-// loads is what daemons have in progress, as they told. Safe for concurrent use.
+// loads holds the requests in flight that daemons reported. Safe for concurrent use.
 type loads struct {
-	mu    sync.Mutex
-	by    map[string]daemonLoad // by daemon of this zone
-	far   map[string]int        // of other zones' daemons together
-	stand []groupRef            // groups that stand still for other zones
-	count int                   // of other zones' daemons
-	sum   loadSum               // of all
+	mu            sync.Mutex
+	byDaemon      map[string]daemonReport // daemons of this zone, by id
+	remote        map[string]int          // sum over the daemons of other zones
+	remoteStalled []groupRef              // groups stalled for other zones
+	remoteDaemons int                     // number of daemons in other zones
+	cached        totalLoad               // sum over all daemons
 }
 
-// loadSum is what all daemons have in progress, by instance. It is made once for all that ask
-// within sumFor, and never changed once made.
-type loadSum struct {
+// totalLoad is the requests in flight of all daemons, by instance. It is computed once for all
+// callers within totalValidFor and is immutable.
+type totalLoad struct {
 	at      time.Time
 	loads   map[string]int
-	encoded json.RawMessage // of loads, for the wire
+	encoded json.RawMessage // loads, encoded for the wire
 }
 
-// daemonLoad is one daemon's word.
-type daemonLoad struct {
-	inFlight       map[string]int
-	stopped, alive []groupRef
-	at             time.Time
+// daemonReport is the last report of one daemon.
+type daemonReport struct {
+	inFlight        map[string]int
+	stalled, active []groupRef
+	at              time.Time
 }
 
-// note takes in a daemon's word.
+// note records a daemon's report.
 func (l *loads) note(r ShareRequest, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.by == nil {
-		l.by = map[string]daemonLoad{}
+	if l.byDaemon == nil {
+		l.byDaemon = map[string]daemonReport{}
 	}
-	l.by[r.From] = daemonLoad{r.Loads, r.Stopped, r.Alive, now}
+	l.byDaemon[r.From] = daemonReport{r.Loads, r.StalledGroups, r.ActiveGroups, now}
 }
 
-// noteFar takes in what other zones' relays told.
-func (l *loads) noteFar(far map[string]int, standing []groupRef, daemons int) {
+// setRemote records what the relays of other zones reported.
+func (l *loads) setRemote(remote map[string]int, stalled []groupRef, daemons int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.far, l.stand, l.count = far, standing, daemons
+	l.remote, l.remoteStalled, l.remoteDaemons = remote, stalled, daemons
 }
 
-// daemons returns how many daemons of this zone told lately, and of all.
-func (l *loads) daemons(now time.Time) (near, all int) {
+// countDaemons returns how many daemons of this zone reported recently, and how many of all
+// zones.
+func (l *loads) countDaemons(now time.Time) (zone, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, one := range l.by {
-		if now.Sub(one.at) <= loadFor {
-			near++
+	for _, one := range l.byDaemon {
+		if now.Sub(one.at) <= loadValidFor {
+			zone++
 		}
 	}
-	return near, near + l.count
+	return zone, zone + l.remoteDaemons
 }
 
-// standingLeast is how many daemons must say that a group's streams stopped, while none
-// says that they bring events. A word of one alone was a busy replica more often than a
-// dead one: told to all, everybody would leave replicas that only read a long prompt.
-const standingLeast = 2
+// minStallReporters is how many daemons must report that a group's streams stopped, while none
+// reports that they deliver events. A report by one daemon alone was a busy replica more often
+// than a dead one; announced to all, it would drive everybody away from replicas that only read
+// a long prompt.
+const minStallReporters = 2
 
-// standing returns the groups that stand still, by this zone's daemons. Words are as fresh
-// as those of loads.
-func (l *loads) standing(now time.Time) []groupRef {
+// stalledGroups returns the groups that are stalled according to this zone's daemons. Reports
+// expire as those of loads do.
+func (l *loads) stalledGroups(now time.Time) []groupRef {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.standingNear(now)
+	return l.stalledGroupsLocked(now)
 }
 
-// standingNear is standing; l.mu is held.
-func (l *loads) standingNear(now time.Time) []groupRef {
-	stopped := map[groupRef]int{}
-	for _, one := range l.by {
-		if now.Sub(one.at) > loadFor {
+// stalledGroupsLocked is stalledGroups; l.mu is held.
+func (l *loads) stalledGroupsLocked(now time.Time) []groupRef {
+	reporters := map[groupRef]int{}
+	for _, one := range l.byDaemon {
+		if now.Sub(one.at) > loadValidFor {
 			continue
 		}
-		for _, g := range one.stopped {
-			stopped[g]++
+		for _, g := range one.stalled {
+			reporters[g]++
 		}
 	}
-	maps.DeleteFunc(stopped, func(_ groupRef, n int) bool { return n < standingLeast })
-	if len(stopped) == 0 {
+	maps.DeleteFunc(reporters, func(_ groupRef, n int) bool { return n < minStallReporters })
+	if len(reporters) == 0 {
 		return nil
 	}
-	for _, one := range l.by {
-		if now.Sub(one.at) > loadFor {
+	for _, one := range l.byDaemon {
+		if now.Sub(one.at) > loadValidFor {
 			continue
 		}
-		for _, g := range one.alive {
-			delete(stopped, g)
+		for _, g := range one.active {
+			delete(reporters, g)
 		}
 	}
-	return slices.SortedFunc(maps.Keys(stopped), func(a, b groupRef) int {
+	return slices.SortedFunc(maps.Keys(reporters), func(a, b groupRef) int {
 		return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// allStanding adds those of other zones.
-func (l *loads) allStanding(now time.Time) []groupRef {
+// allStalledGroups adds the stalled groups of other zones.
+func (l *loads) allStalledGroups(now time.Time) []groupRef {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append(l.standingNear(now), l.stand...)
+	return append(l.stalledGroupsLocked(now), l.remoteStalled...)
 }
 
-// near sums the words of this zone's daemons but one; l.mu is held.
-func (l *loads) near(but string, now time.Time) map[string]int {
-	maps.DeleteFunc(l.by, func(_ string, one daemonLoad) bool { return now.Sub(one.at) > loadFor })
+// zoneTotalLocked sums the reports of this zone's daemons except one; l.mu is held.
+func (l *loads) zoneTotalLocked(except string, now time.Time) map[string]int {
+	maps.DeleteFunc(l.byDaemon, func(_ string, one daemonReport) bool { return now.Sub(one.at) > loadValidFor })
 	sum := map[string]int{}
-	for from, one := range l.by {
-		if from != but {
+	for from, one := range l.byDaemon {
+		if from != except {
 			addTo(sum, one.inFlight)
 		}
 	}
 	return sum
 }
 
-// zone returns the sum of this zone's daemons.
-func (l *loads) zone(now time.Time) map[string]int {
+// zoneTotal returns the sum over this zone's daemons.
+func (l *loads) zoneTotal(now time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.near("", now)
+	return l.zoneTotalLocked("", now)
 }
 
-// all returns the sum of all daemons.
-func (l *loads) all(now time.Time) (loadSum, error) {
+// total returns the sum over all daemons.
+func (l *loads) total(now time.Time) (totalLoad, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sum.loads != nil && now.Sub(l.sum.at) <= sumFor {
-		return l.sum, nil
+	if l.cached.loads != nil && now.Sub(l.cached.at) <= totalValidFor {
+		return l.cached, nil
 	}
-	sum := l.near("", now)
-	addTo(sum, l.far)
+	sum := l.zoneTotalLocked("", now)
+	addTo(sum, l.remote)
 	encoded, err := json.Marshal(sum)
 	if err != nil {
-		return loadSum{}, errors.Annotate(err, "loads")
+		return totalLoad{}, errors.Annotate(err, "encoding loads")
 	}
-	l.sum = loadSum{now, sum, encoded}
-	return l.sum, nil
+	l.cached = totalLoad{now, sum, encoded}
+	return l.cached, nil
 }
 
-// others returns the sum of all daemons but one of this zone.
-func (l *loads) others(but string, now time.Time) map[string]int {
+// totalExcept returns the sum over all daemons except one of this zone.
+func (l *loads) totalExcept(except string, now time.Time) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sum := l.near(but, now)
-	addTo(sum, l.far)
+	sum := l.zoneTotalLocked(except, now)
+	addTo(sum, l.remote)
 	return sum
 }
 
@@ -164,12 +166,12 @@
 	}
 }
 
-// without returns a sum less one daemon's own part.
-func without(sum, own map[string]int) map[string]int {
+// subtract returns a sum less one daemon's own part.
+func subtract(sum, own map[string]int) map[string]int {
 	out := make(map[string]int, len(sum))
 	for instance, n := range sum {
-		if rest := n - own[instance]; rest > 0 {
-			out[instance] = rest
+		if remaining := n - own[instance]; remaining > 0 {
+			out[instance] = remaining
 		}
 	}
 	return out
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -11,26 +11,26 @@
 	"pearlanding/internal/objectapi"
 )
 
-// maxUnpacked bounds what one answer may unpack to: some ten thousand entries.
-const maxUnpacked = 16 << 20
+// maxUnpackedBytes bounds the unpacked size of one answer: about ten thousand entries.
+const maxUnpackedBytes = 16 << 20
 
-// errTooMuch: an answer holds more than a peer takes in.
-const errTooMuch = errors.ConstError("relay: answer too large")
+// errAnswerTooLarge: an answer unpacks to more than maxUnpackedBytes.
+const errAnswerTooLarge = errors.ConstError("relay: answer exceeds the size limit")
 
-// change is one event on the wire.
-type change struct {
+// wireEvent is one event on the wire.
+type wireEvent struct {
 	Key     string          `json:"key"`
 	Version uint64          `json:"version"`
 	Value   json.RawMessage `json:"value,omitempty"`
 	Removed bool            `json:"removed,omitempty"`
 }
 
-// pack makes changes small enough for a relay's link: 760 entries of some 400 bytes to 59
-// peers are 18 MB, or 7 s at 20 Mbit/s; entries are much alike.
+// pack compresses changes to fit a relay's link: 760 entries of about 400 bytes to 59 peers are
+// 18 MB, or 7 s at 20 Mbit/s. Entries are similar and compress well.
 func pack(events []objectapi.Event) ([]byte, error) {
-	changes := make([]change, 0, len(events))
+	changes := make([]wireEvent, 0, len(events))
 	for _, e := range events {
-		changes = append(changes, change{e.Object.Key, e.Object.Version, e.Object.Value, e.Removed})
+		changes = append(changes, wireEvent{e.Object.Key, e.Object.Version, e.Object.Value, e.Removed})
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -38,7 +38,7 @@
 		return nil, errors.Trace(err)
 	}
 	if err := json.NewEncoder(w).Encode(changes); err != nil {
-		return nil, errors.Annotate(err, "changes")
+		return nil, errors.Annotate(err, "encoding changes")
 	}
 	if err := w.Close(); err != nil {
 		return nil, errors.Trace(err)
@@ -46,22 +46,22 @@
 	return out.Bytes(), nil
 }
 
-// unpack returns the changes after a revision: a relay that saw them in other pieces may
-// tell older ones too.
+// unpack returns the changes after a revision. A relay that received them in other batches may
+// send older ones too, which are dropped.
 func unpack(packed []byte, after uint64) ([]objectapi.Event, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked+1))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes+1))
 	if err != nil {
-		return nil, errors.Annotate(err, "changes")
+		return nil, errors.Annotate(err, "decompressing changes")
 	}
-	if len(text) > maxUnpacked {
-		return nil, errTooMuch
+	if len(text) > maxUnpackedBytes {
+		return nil, errAnswerTooLarge
 	}
-	var changes []change
+	var changes []wireEvent
 	if err := json.Unmarshal(text, &changes); err != nil {
-		return nil, errors.Annotate(err, "changes")
+		return nil, errors.Annotate(err, "decoding changes")
 	}
 	out := make([]objectapi.Event, 0, len(changes))
 	for _, c := range changes {
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -13,96 +13,97 @@
 	"pearlanding/internal/rpc"
 )
 
-// methodNews asks a relay for what is new. Another form of its answer has another name:
-// daemons of two versions serve side by side while they are replaced.
-const methodNews = "relay.packed_news"
+// methodPoll is a long poll for changes. A new form of its answer needs a new name, as daemons
+// of two versions run side by side during an upgrade.
+const methodPoll = "relay.packed_news"
 
-// codeNotRelaying is the error of a daemon that doesn't follow the store itself, or
-// has not heard from it for too long.
+// codeNotRelaying is the error of a daemon that is not a relay, or that has not reached the
+// store for too long.
 const codeNotRelaying = jrpc2.Code(1)
 
-// codeStopping is the error of a daemon that stops and won't be back.
+// codeStopping is the error of a daemon that is shutting down for good.
 const codeStopping = jrpc2.Code(2)
 
-// NewsRequest asks for the changes after a revision, and for a read of the
-// configuration later than the one with the number ConfigSeq.
-type NewsRequest struct {
+// PollRequest asks for the changes after a revision, and for a read of the configuration later
+// than read number ConfigSeq.
+type PollRequest struct {
 	After     uint64 `json:"after"`
 	ConfigSeq uint64 `json:"config_seq"`
 	WaitMS    int64  `json:"wait_ms"` // how long to wait for either
-	// From is the asker, unique for each life of a process; Standing are the instances
-	// whose running streams stopped for it lately.
-	From     string   `json:"from"`
-	Standing []string `json:"standing,omitempty"`
-	// Quarantine is the last number told of requests that end instances; nil: the asker
-	// wants none.
-	Quarantine *uint64 `json:"quarantine,omitempty"`
-}
-
-// NewsReply is what a relay knows. Ages are in milliseconds before the reply was
-// made, rounded up. The reply was made no earlier than Held after the asker sent the request,
-// and the asker counts the ages back from then.
-type NewsReply struct {
-	// Held is for how many milliseconds the relay held the request, rounded down.
-	Held       int64  `json:"held_ms,omitempty"`
-	Gap        bool   `json:"gap,omitempty"`     // the changes are no longer known: list
-	Changes    []byte `json:"changes,omitempty"` // the latest of each object, packed
-	Revision   uint64 `json:"revision"`
-	EntriesAge int64  `json:"entries_age_ms"`
+	// From identifies the caller, unique for each process. StalledInstances are those whose
+	// running streams recently stopped making progress for it.
+	From             string   `json:"from"`
+	StalledInstances []string `json:"standing,omitempty"`
+	// QuarantineSeq is the last quarantine sequence number that the caller received; nil: the
+	// caller wants none.
+	QuarantineSeq *uint64 `json:"quarantine,omitempty"`
+}
+
+// PollReply is what a relay knows. Ages are in milliseconds before the reply was made, rounded
+// up. The reply was made no earlier than HeldMS after the caller sent the request, and the
+// caller counts the ages back from then.
+type PollReply struct {
+	// HeldMS is for how many milliseconds the relay held the request, rounded down.
+	HeldMS       int64  `json:"held_ms,omitempty"`
+	Gap          bool   `json:"gap,omitempty"`     // the changes are no longer known; list instead
+	Changes      []byte `json:"changes,omitempty"` // the latest change of each object, packed
+	Revision     uint64 `json:"revision"`
+	EntriesAgeMS int64  `json:"entries_age_ms"`
 	// ConfigVersion is the version of the configuration's object; 0: not read yet.
 	ConfigVersion uint64 `json:"config_version"`
 	ConfigSeq     uint64 `json:"config_seq"`
-	ConfigAge     int64  `json:"config_age_ms"`
-	// Quarantine numbers what all daemons must know of requests that end instances: a daemon
-	// that was told another number asks.
-	Quarantine uint64 `json:"quarantine,omitempty"`
+	ConfigAgeMS   int64  `json:"config_age_ms"`
+	// QuarantineSeq numbers the quarantine updates that all daemons must have: a daemon that
+	// last received another number requests them.
+	QuarantineSeq uint64 `json:"quarantine,omitempty"`
 }
 
-// ageMS is the age of a proof in whole milliseconds, never too young.
+// ageMS returns the age of a proof in whole milliseconds, rounded up so that a proof never
+// appears too young.
 func ageMS(now, proved time.Time) int64 {
 	return int64(math.Ceil(float64(now.Sub(proved)) / float64(time.Millisecond)))
 }
 
-// Methods returns the calls that peers may make.
+// Methods returns the RPC methods that peers may call.
 func (n *Node) Methods() handler.Map {
-	return handler.Map{methodNews: handler.New(n.news), methodStanding: handler.New(n.answerStanding),
-		methodShare: handler.New(n.answerShareEncoded), methodRepeat: handler.New(n.answerRepeat), methodLoads: handler.New(n.answerLoads), methodWords: handler.New(n.answerWords),
+	return handler.Map{methodPoll: handler.New(n.answerPoll), methodStalled: handler.New(n.answerStalled),
+		methodShare: handler.New(n.answerShareEncoded), methodRetry: handler.New(n.answerRetry), methodLoads: handler.New(n.answerLoads), methodQuarantine: handler.New(n.answerQuarantine),
 		methodLimits: handler.New(n.answerLimits), methodSnapshot: handler.New(n.answerSnapshot)}
 }
 
-// maxWait bounds how long a peer's call is held.
-const maxWait = 2 * time.Second
+// maxPollWait bounds how long a peer's call is held.
+const maxPollWait = 2 * time.Second
 
-// news answers a peer: at once if something is new, otherwise when something is or
-// the wait is over. As soon as the newest proof is stale it says so, and the peer
+// answerPoll answers a peer: at once if something changed, otherwise on the next change or when
+// the wait ends. It returns an error as soon as the newest proof is stale, so that the peer
 // turns to the store.
-func (n *Node) news(ctx context.Context, r NewsRequest) (NewsReply, error) {
-	began := n.now()
-	if began.Sub(n.askedAt.Load()) >= servingFor {
-		n.arrive()
+func (n *Node) answerPoll(ctx context.Context, r PollRequest) (PollReply, error) {
+	received := n.now()
+	if received.Sub(n.polledAt.Load()) >= servingWindow {
+		n.notifyPolled()
 	}
-	n.askedAt.Store(began)
-	n.reports.note(r.From, r.Standing, began)
-	timer := time.NewTimer(min(time.Duration(r.WaitMS)*time.Millisecond, maxWait))
+	n.polledAt.Store(received)
+	n.reports.note(r.From, r.StalledInstances, received)
+	timer := time.NewTimer(min(time.Duration(r.WaitMS)*time.Millisecond, maxPollWait))
 	defer timer.Stop()
 	for expired := false; ; {
-		entries, config, changed := n.history.state()
-		left := entries.Add(n.o.Stale()).Sub(n.now())
-		if n.closed.Load() {
-			return NewsReply{}, jrpc2.Errorf(codeStopping, "stopping")
+		entries, config, changed := n.history.proofs()
+		remaining := entries.Add(n.opts.Stale()).Sub(n.now())
+		if n.stopping.Load() {
+			return PollReply{}, jrpc2.Errorf(codeStopping, "stopping")
 		}
-		if !n.relaying() || left <= 0 {
-			return NewsReply{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
+		if !n.relaying() || remaining <= 0 {
+			return PollReply{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
 		}
-		news, err := n.history.tell(r.After)
+		changes, err := n.history.packChangesAfter(r.After)
 		if err != nil {
-			return NewsReply{}, errors.Trace(err)
+			return PollReply{}, errors.Trace(err)
 		}
-		quarantined := r.Quarantine != nil && *r.Quarantine != n.hot()
-		if expired || news.gap || len(news.changes) > 0 || config.seq != r.ConfigSeq || quarantined {
-			return n.reply(began, entries, config, news), nil
+		newQuarantine := r.QuarantineSeq != nil && *r.QuarantineSeq != n.clusterWideSeq()
+		if expired || changes.gap || len(changes.changes) > 0 || config.seq != r.ConfigSeq || newQuarantine {
+			return n.makePollReply(received, entries, config, changes), nil
 		}
-		stale := time.NewTimer(left)
+		stale := time.NewTimer(remaining)
 		select {
 		case <-changed:
 		case <-stale.C:
@@ -110,59 +111,61 @@
 			expired = true
 		case <-ctx.Done():
 			stale.Stop()
-			return NewsReply{}, ctx.Err()
+			return PollReply{}, ctx.Err()
 		}
 		stale.Stop()
 	}
 }
 
-// arrive notes that a peer asks after none did for a while.
-func (n *Node) arrive() {
+// notifyPolled signals that a peer polls after none did for servingWindow.
+func (n *Node) notifyPolled() {
 	select {
-	case n.arrived <- struct{}{}:
+	case n.polled <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) reply(began, entries time.Time, config configProof, news told) NewsReply {
+func (n *Node) makePollReply(received, entries time.Time, config configProof, changes packedChanges) PollReply {
 	now := n.now()
-	out := NewsReply{Held: now.Sub(began).Milliseconds(), Gap: news.gap, Changes: news.changes, Revision: news.end, EntriesAge: ageMS(now, entries),
-		ConfigSeq: config.seq, ConfigVersion: config.version, Quarantine: n.hot()}
+	out := PollReply{HeldMS: now.Sub(received).Milliseconds(), Gap: changes.gap, Changes: changes.changes, Revision: changes.end, EntriesAgeMS: ageMS(now, entries),
+		ConfigSeq: config.seq, ConfigVersion: config.version, QuarantineSeq: n.clusterWideSeq()}
 	if config.version != 0 {
-		out.ConfigAge = ageMS(now, config.proved)
+		out.ConfigAgeMS = ageMS(now, config.provedAt)
 	}
 	return out
 }
 
-// hot numbers what all daemons must know of requests that end instances.
-func (n *Node) hot() uint64 {
-	if n.o.Quarantine == nil {
+// clusterWideSeq returns the sequence number of the last quarantine update that all daemons
+// must have.
+func (n *Node) clusterWideSeq() uint64 {
+	if n.opts.Quarantine == nil {
 		return 0
 	}
-	_, hot := n.o.Quarantine.Seq()
-	return hot
+	_, clusterWide := n.opts.Quarantine.Seq()
+	return clusterWide
 }
 
-// hear takes in the number that a relay told; a new one is asked about at once.
-func (n *Node) hear(address string, hot uint64) {
-	if n.share.hear(address, hot) {
+// noteClusterWideSeq records the quarantine sequence number that a relay sent; a new one starts
+// a sync at once.
+func (n *Node) noteClusterWideSeq(address string, seq uint64) {
+	if n.share.noteSeq(address, seq) {
 		n.Kick()
 	}
 }
 
-// Kick lets this daemon tell and ask at once what is new of requests that end instances.
+// Kick starts an exchange of quarantine updates at once, without waiting for the next interval.
 func (n *Node) Kick() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.syncRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Peers asks other daemons over JSON-RPC.
+// Peers calls other daemons over JSON-RPC.
 type Peers struct{ rpc *rpc.Peers }
 
 // NewPeers returns a transport without connections.
-func NewPeers() *Peers { return &Peers{rpc: rpc.NewPeers(maxWait)} }
+func NewPeers() *Peers { return &Peers{rpc: rpc.NewPeers(maxPollWait)} }
 
 // NewPeersOver returns a transport whose connections are made by dial.
 func NewPeersOver(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
@@ -171,17 +174,17 @@
 	return p
 }
 
-// News implements Transport.
-func (p *Peers) News(ctx context.Context, address string, r NewsRequest) (NewsReply, error) {
-	var out NewsReply
-	err := p.rpc.Call(ctx, address, methodNews, r, &out)
+// Poll implements Transport.
+func (p *Peers) Poll(ctx context.Context, address string, r PollRequest) (PollReply, error) {
+	var out PollReply
+	err := p.rpc.Call(ctx, address, methodPoll, r, &out)
 	return out, err
 }
 
-// Standing asks a relay which instances stand still in its zone.
-func (p *Peers) Standing(ctx context.Context, address string) (StandingReply, error) {
-	var out StandingReply
-	err := p.rpc.Call(ctx, address, methodStanding, nil, &out)
+// Standing asks a relay which instances are stalled in its zone.
+func (p *Peers) Standing(ctx context.Context, address string) (StalledReply, error) {
+	var out StalledReply
+	err := p.rpc.Call(ctx, address, methodStalled, nil, &out)
 	return out, err
 }
 
@@ -192,33 +195,33 @@
 	return out, err
 }
 
-// Repeat implements Transport.
-func (p *Peers) Repeat(ctx context.Context, address string, r RepeatRequest) (RepeatReply, error) {
-	var out RepeatReply
-	err := p.rpc.Call(ctx, address, methodRepeat, r, &out)
+// TakeRetry implements Transport.
+func (p *Peers) TakeRetry(ctx context.Context, address string, r RetryRequest) (RetryReply, error) {
+	var out RetryReply
+	err := p.rpc.Call(ctx, address, methodRetry, r, &out)
 	return out, err
 }
 
-// Loads implements Transport.
-func (p *Peers) Loads(ctx context.Context, address string) (LoadsReply, error) {
+// ZoneLoads implements Transport.
+func (p *Peers) ZoneLoads(ctx context.Context, address string) (LoadsReply, error) {
 	var out LoadsReply
 	err := p.rpc.Call(ctx, address, methodLoads, nil, &out)
 	return out, err
 }
 
-// Words implements Transport.
-func (p *Peers) Words(ctx context.Context, address string, r WordsRequest) (WordsReply, error) {
-	var out WordsReply
-	err := p.rpc.Call(ctx, address, methodWords, r, &out)
+// SyncQuarantine implements Transport.
+func (p *Peers) SyncQuarantine(ctx context.Context, address string, r QuarantineRequest) (QuarantineReply, error) {
+	var out QuarantineReply
+	err := p.rpc.Call(ctx, address, methodQuarantine, r, &out)
 	return out, err
 }
 
-// Limits implements Transport.
-func (p *Peers) Limits(ctx context.Context, address string, r LimitsRequest) (LimitsReply, error) {
+// SyncLimits implements Transport.
+func (p *Peers) SyncLimits(ctx context.Context, address string, r LimitsRequest) (LimitsReply, error) {
 	var out LimitsReply
 	err := p.rpc.Call(ctx, address, methodLimits, r, &out)
 	return out, err
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Peers) Close() { p.rpc.Close() }
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -10,265 +10,269 @@
 	"pearlanding/internal/quarantine"
 )
 
-// methodWords exchanges what two daemons know of requests that end instances.
-const methodWords = "relay.quarantine"
+// methodQuarantine exchanges what two daemons know of requests that crash instances.
+const methodQuarantine = "relay.quarantine"
 
-// Quarantine is what a daemon knows of requests that end instances. Its methods are safe
+// Quarantine holds what a daemon knows of requests that crash instances. Its methods are safe
 // for concurrent use.
 type Quarantine interface {
-	// Since returns what changed after a sequence number, and the number that it leads to;
-	// hot leaves out what only relays need.
-	Since(seq uint64, hot bool) (words []quarantine.Word, upTo uint64)
-	// Seq returns the number of the last change, and of the last one for all daemons.
-	Seq() (all, hot uint64)
-	Merge(words []quarantine.Word)
+	// Since returns the updates after a sequence number, and the number that they lead to. With
+	// clusterWide set it leaves out updates that only relays need.
+	Since(seq uint64, clusterWide bool) (updates []quarantine.Word, upTo uint64)
+	// Seq returns the sequence number of the last update, and of the last one that all daemons
+	// must have.
+	Seq() (all, clusterWide uint64)
+	Merge(updates []quarantine.Word)
 }
 
-// WordsRequest tells a daemon what the asker knows, and asks for what it does.
-type WordsRequest struct {
-	From  string            `json:"from"` // the asker, unique for each life of a process
-	Words []quarantine.Word `json:"words,omitempty"`
-	// Seen is up to which of the changes of the process Of the asker knows them.
-	Of   string `json:"of"`
-	Seen uint64 `json:"seen"`
-	Hot  bool   `json:"hot,omitempty"` // the asker adds nothing up
+// QuarantineRequest carries the caller's updates and asks for those that it has not seen.
+type QuarantineRequest struct {
+	From    string            `json:"from"` // identifies the caller, unique for each process
+	Updates []quarantine.Word `json:"words,omitempty"`
+	// The caller has all updates of process SeenOf up to number SeenSeq.
+	SeenOf      string `json:"of"`
+	SeenSeq     uint64 `json:"seen"`
+	ClusterWide bool   `json:"hot,omitempty"` // the caller does not count crashes; it needs cluster-wide updates only
 }
 
-// WordsReply is what the daemon knew before the request.
-type WordsReply struct {
-	From  string            `json:"from"`
-	Words []quarantine.Word `json:"words,omitempty"`
-	Seq   uint64            `json:"seq"`
+// QuarantineReply carries what the daemon knew before the request.
+type QuarantineReply struct {
+	From    string            `json:"from"`
+	Updates []quarantine.Word `json:"words,omitempty"`
+	Seq     uint64            `json:"seq"`
 }
 
-// answerWords answers another daemon, in touch with the store or not.
-func (n *Node) answerWords(_ context.Context, r WordsRequest) (WordsReply, error) {
-	q := n.o.Quarantine
-	if r.Of != n.o.Holder {
-		r.Seen = 0
+// answerQuarantine answers another daemon, whether or not this one reaches the store.
+func (n *Node) answerQuarantine(_ context.Context, r QuarantineRequest) (QuarantineReply, error) {
+	q := n.opts.Quarantine
+	if r.SeenOf != n.opts.Holder {
+		r.SeenSeq = 0
 	}
-	words, seq := q.Since(r.Seen, r.Hot)
-	q.Merge(r.Words)
-	return WordsReply{n.o.Holder, words, seq}, nil
+	updates, seq := q.Since(r.SeenSeq, r.ClusterWide)
+	q.Merge(r.Updates)
+	return QuarantineReply{n.opts.Holder, updates, seq}, nil
 }
 
-// position is how far two daemons have told one another.
-type position struct {
-	of     string // the other one, unique for each life of a process
-	theirs uint64 // up to which of its changes this one knows them
-	ours   uint64 // and it knows this one's
+// syncState is how far two daemons have exchanged their updates.
+type syncState struct {
+	peerID   string // the other daemon, unique for each process
+	received uint64 // sequence number of the other daemon's updates received so far
+	sent     uint64 // sequence number of this daemon's updates sent so far
 }
 
-// positions are those of all daemons that this one talked to, by address. Safe for
-// concurrent use.
-type positions struct {
-	mu sync.Mutex
-	m  map[string]position
+// syncStates holds the state of each daemon that this one exchanged updates with, by address.
+// Safe for concurrent use.
+type syncStates struct {
+	mu        sync.Mutex
+	byAddress map[string]syncState
 }
 
-func (p *positions) at(address string) position {
+func (p *syncStates) get(address string) syncState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.m[address]
+	return p.byAddress[address]
 }
 
-func (p *positions) set(address string, to position) {
+func (p *syncStates) set(address string, state syncState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.m == nil {
-		p.m = map[string]position{}
+	if p.byAddress == nil {
+		p.byAddress = map[string]syncState{}
 	}
-	p.m[address] = to
+	p.byAddress[address] = state
 }
 
-// roundsMost bounds the messages of one exchange: the rest follows with the next one.
-const roundsMost = 8
+// maxSyncRounds bounds the messages of one exchange; the rest follows with the next one.
+const maxSyncRounds = 8
 
-// converse exchanges with one daemon until neither knows more.
-func (n *Node) converse(ctx context.Context, address string, hot bool) error {
-	q := n.o.Quarantine
-	for range roundsMost {
-		at := n.positions.at(address)
-		words, ours := q.Since(at.ours, false)
-		r, err := n.o.Peers.Words(ctx, address, WordsRequest{From: n.o.Holder, Words: words, Of: at.of, Seen: at.theirs, Hot: hot})
+// syncQuarantine exchanges updates with one daemon until neither has more.
+func (n *Node) syncQuarantine(ctx context.Context, address string, clusterWide bool) error {
+	q := n.opts.Quarantine
+	for range maxSyncRounds {
+		state := n.syncStates.get(address)
+		updates, sent := q.Since(state.sent, false)
+		r, err := n.opts.Peers.SyncQuarantine(ctx, address, QuarantineRequest{From: n.opts.Holder, Updates: updates, SeenOf: state.peerID, SeenSeq: state.received, ClusterWide: clusterWide})
 		if err != nil {
 			return err
 		}
-		q.Merge(r.Words)
-		next := position{of: r.From, theirs: r.Seq, ours: ours}
-		if r.From != at.of && at.of != "" {
-			next.ours = 0 // another process, which knows nothing of what the one before was told
+		q.Merge(r.Updates)
+		next := syncState{peerID: r.From, received: r.Seq, sent: sent}
+		if r.From != state.peerID && state.peerID != "" {
+			next.sent = 0 // a new process, which has none of the updates sent to its predecessor
 		}
-		n.positions.set(address, next)
-		if all, _ := q.Seq(); len(r.Words) == 0 && next.ours >= all {
+		n.syncStates.set(address, next)
+		if all, _ := q.Seq(); len(r.Updates) == 0 && next.sent >= all {
 			return nil
 		}
 	}
 	return nil
 }
 
-// Times of the spreading of what is known of requests that end instances.
+// Intervals of exchanging quarantine updates.
 const (
-	// spreadTimeout bounds one exchange.
-	spreadTimeout = 300 * time.Millisecond
-	// spreadEvery is how often one that failed is tried again; spreadIdle how often it is
-	// looked whether there is one, while nothing is known.
-	spreadEvery = 250 * time.Millisecond
-	spreadIdle  = 2 * time.Second
-	// spreadList is how often a relay that has news looks who the others are now: their
-	// records may have changed since its last listing.
-	spreadList = time.Second
+	// syncTimeout bounds one exchange.
+	syncTimeout = 300 * time.Millisecond
+	// syncRetryInterval is the delay before a failed exchange is retried; syncIdleInterval is
+	// the interval of checks while there is nothing to send or request.
+	syncRetryInterval = 250 * time.Millisecond
+	syncIdleInterval  = 2 * time.Second
+	// minListInterval is the minimum time between two listings of the relays while there are
+	// updates to send: their records may have changed since the last listing.
+	minListInterval = time.Second
 )
 
-// Spread tells the others what is new of requests that end instances, and hears what is: a
-// relay tells the relays of all zones, other daemons their own. Without news it makes no
-// call, but for one to each relay that it did not know.
+// Spread exchanges quarantine updates: a relay with the relays of all zones, any other daemon
+// with its own relay. Without new updates it makes no call except one to each relay that it did
+// not know.
 type Spread struct {
 	Node *Node
-	List func(ctx context.Context) (objectapi.Listing, error) // of all zones' records
+	List func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
 
-	listed time.Time
-	told   uint64               // this daemon's last news as it listed the relays
-	tried  map[string]time.Time // when a relay that never answered was asked last, by address
+	listedAt  time.Time
+	listedSeq uint64               // this daemon's last update when it listed the relays
+	triedAt   map[string]time.Time // last attempt to reach a relay that never answered, by address
 }
 
-// Run spreads until ctx ends.
+// Run exchanges updates until ctx ends.
 func (s *Spread) Run(ctx context.Context) {
-	timer := time.NewTimer(spreadEvery)
+	timer := time.NewTimer(syncRetryInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-s.Node.kick:
-			s.Node.history.nudge()
+		case <-s.Node.syncRequested:
+			s.Node.history.notify()
 		}
-		s.once(ctx)
-		timer.Reset(s.pace())
+		s.runOnce(ctx)
+		timer.Reset(s.nextDelay())
 	}
 }
 
-// pace is how long to wait without news.
-func (s *Spread) pace() time.Duration {
-	if s.behind() || s.Node.untold() {
-		return spreadEvery
+// nextDelay returns how long to wait for the next check unless a sync is requested.
+func (s *Spread) nextDelay() time.Duration {
+	if s.pending() || s.Node.relayLost() {
+		return syncRetryInterval
 	}
-	return spreadIdle
+	return syncIdleInterval
 }
 
-// behind tells whether somebody lacks this daemon's news, or it somebody's.
-func (s *Spread) behind() bool {
+// pending reports whether this daemon has updates to send or to request.
+func (s *Spread) pending() bool {
 	n := s.Node
-	all, _ := n.o.Quarantine.Seq()
+	all, _ := n.opts.Quarantine.Seq()
 	if !n.Holding() {
-		relay, due := n.share.last()
-		return due || n.positions.at(relay).ours < all
+		relay, due := n.share.lastAnswered()
+		return due || n.syncStates.get(relay).sent < all
 	}
-	return slices.ContainsFunc(n.relays(), func(address string) bool { return s.due(address, all) })
+	return slices.ContainsFunc(n.otherRelays(), func(address string) bool { return s.needsSync(address, all) })
 }
 
-// due tells whether a relay is to be asked: it lacks news, or was never asked. One that does
-// not answer is then asked again with the next news, or after a while.
-func (s *Spread) due(address string, all uint64) bool {
-	at := s.Node.positions.at(address)
-	return at.ours < all || at.of == "" && s.Node.now().Sub(s.tried[address]) > relayList
+// needsSync reports whether a relay is missing updates or was never contacted. One that does
+// not answer is contacted again with the next update, or after relayListInterval.
+func (s *Spread) needsSync(address string, all uint64) bool {
+	state := s.Node.syncStates.get(address)
+	return state.sent < all || state.peerID == "" && s.Node.now().Sub(s.triedAt[address]) > relayListInterval
 }
 
-func (s *Spread) once(ctx context.Context) {
+func (s *Spread) runOnce(ctx context.Context) {
 	if s.Node.Holding() {
-		s.far(ctx)
+		s.syncWithAllZones(ctx)
 	} else {
-		s.near(ctx)
+		s.syncWithRelay(ctx)
 	}
 }
 
-// near exchanges with the zone's relay.
-func (s *Spread) near(ctx context.Context) {
+// syncWithRelay exchanges updates with the zone's relay.
+func (s *Spread) syncWithRelay(ctx context.Context) {
 	n := s.Node
-	relay, _ := n.share.last()
-	if !s.behind() {
-		if n.untold() {
-			s.converse(ctx, relay, true) // one that does not answer is looked for by Follow
+	relay, _ := n.share.lastAnswered()
+	if !s.pending() {
+		if n.relayLost() {
+			s.trySync(ctx, relay, true) // Follow looks for a new relay if this one does not answer
 		}
 		return
 	}
-	all, _ := n.o.Quarantine.Seq()
+	all, _ := n.opts.Quarantine.Seq()
 	if relay != "" {
-		n.share.asked(relay, false)
-		if s.converse(ctx, relay, true) {
-			n.unheard.Store(false)
+		n.share.setSyncDue(relay, false)
+		if s.trySync(ctx, relay, true) {
+			n.relayUnresponsive.Store(false)
 			return
 		}
-		n.share.asked(relay, true)
+		n.share.setSyncDue(relay, true)
 	}
-	n.unheard.Store(true)
-	s.list(ctx, all)
-	if own := n.ownRelay(); own != "" && own != n.o.Address {
-		n.share.found(own)
+	n.relayUnresponsive.Store(true)
+	s.refreshRelays(ctx, all)
+	if own := n.zoneRelay(); own != "" && own != n.opts.Address {
+		n.share.setRelay(own)
 	}
-	s.abroad(ctx, relay, all)
+	s.syncWithRemoteZone(ctx, relay, all)
 }
 
-// abroad tells another zone's relay what the own one does not hear. The others of this zone do
-// the same, so that their marks add up there.
-func (s *Spread) abroad(ctx context.Context, own string, all uint64) {
+// syncWithRemoteZone sends the updates that the zone's own relay does not receive to another
+// zone's relay. The other daemons of this zone do the same, so that their crash counts add up
+// there.
+func (s *Spread) syncWithRemoteZone(ctx context.Context, own string, all uint64) {
 	n := s.Node
-	for _, address := range n.relays() {
-		if address != own && n.positions.at(address).ours < all && s.converse(ctx, address, true) {
+	for _, address := range n.otherRelays() {
+		if address != own && n.syncStates.get(address).sent < all && s.trySync(ctx, address, true) {
 			return
 		}
 	}
 }
 
-// untold tells whether this daemon lost its relay, which may hear of requests that end instances
-// and tells this daemon nothing until it is used again.
-func (n *Node) untold() bool { return !n.Holding() && n.share.untold() }
+// relayLost reports whether this daemon lost its relay. That relay may still receive quarantine
+// updates, but announces none to this daemon until it is used again.
+func (n *Node) relayLost() bool { return !n.Holding() && n.share.relayLost() }
 
-// Unheard tells whether this daemon's relay does not answer: what must last is then for
-// this daemon to save.
-func (n *Node) Unheard() bool { return n.unheard.Load() }
+// Unheard reports whether this daemon's relay does not answer. The daemon must then save
+// durable quarantine records itself.
+func (n *Node) Unheard() bool { return n.relayUnresponsive.Load() }
 
-// far exchanges with the relays of all zones.
-func (s *Spread) far(ctx context.Context) {
+// syncWithAllZones exchanges updates with the relays of all zones.
+func (s *Spread) syncWithAllZones(ctx context.Context) {
 	n := s.Node
-	all, hot := n.o.Quarantine.Seq()
-	// One that peers ask lists the records regularly anyway, and hears of releases by that.
-	alone := hot > 0 && !n.Serving() && n.now().Sub(s.listed) > relayList
-	if all > s.told || alone {
-		s.list(ctx, all)
+	all, clusterWide := n.opts.Quarantine.Seq()
+	// A relay that peers poll lists the records regularly anyway, and learns of releases that
+	// way.
+	unpolled := clusterWide > 0 && !n.Serving() && n.now().Sub(s.listedAt) > relayListInterval
+	if all > s.listedSeq || unpolled {
+		s.refreshRelays(ctx, all)
 	}
 	var wait sync.WaitGroup
-	if s.tried == nil {
-		s.tried = map[string]time.Time{}
+	if s.triedAt == nil {
+		s.triedAt = map[string]time.Time{}
 	}
-	for _, address := range n.relays() {
-		if s.due(address, all) {
-			s.tried[address] = n.now()
-			wait.Go(func() { s.converse(ctx, address, false) })
+	for _, address := range n.otherRelays() {
+		if s.needsSync(address, all) {
+			s.triedAt[address] = n.now()
+			wait.Go(func() { s.trySync(ctx, address, false) })
 		}
 	}
 	wait.Wait()
 }
 
-// converse exchanges with one daemon; false: it does not answer, and is asked again.
-func (s *Spread) converse(ctx context.Context, address string, hot bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+// trySync exchanges updates with one daemon. It returns false if that one did not answer and
+// must be contacted again.
+func (s *Spread) trySync(ctx context.Context, address string, clusterWide bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	return s.Node.converse(ctx, address, hot) == nil
+	return s.Node.syncQuarantine(ctx, address, clusterWide) == nil
 }
 
-// list looks who the relays are, with news up to a number at hand.
-func (s *Spread) list(ctx context.Context, news uint64) {
+// refreshRelays lists the relays while updates up to a number wait to be sent.
+func (s *Spread) refreshRelays(ctx context.Context, seq uint64) {
 	now := s.Node.now()
-	if now.Sub(s.listed) < spreadList {
+	if now.Sub(s.listedAt) < minListInterval {
 		return
 	}
-	s.listed = now
+	s.listedAt = now
 	l, err := s.List(ctx)
 	if err != nil {
 		return // counted with the store's calls; the last listing stays
 	}
-	s.told = news
-	s.Node.listed(l)
+	s.listedSeq = seq
+	s.Node.noteRecords(l)
 }
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -10,15 +10,17 @@
 	"pearlanding/internal/objectapi"
 )
 
-func TestRelayThatIsBackStays(t *testing.T) {
+// A relay that failed once is asked again before any daemon replaces it: after an outage of the
+// store all relays look stale at once.
+func TestRelayStaysAfterStoreOutage(t *testing.T) {
 	z := newZone(3)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
 	z.down = true
 	for range 8 {
-		z.pass(500 * time.Millisecond)
+		z.advance(500 * time.Millisecond)
 		for _, d := range z.daemons {
-			_ = d.step() // the first ones still hear the relay
+			_ = d.step() // the first ones still receive the relay's proofs
 		}
 	}
 	for _, d := range z.daemons {
@@ -27,9 +29,9 @@
 	z.down = false
 	writes := z.writes
 	must.NoError(t, relay.step())
-	z.rounds(t, 6)
+	z.stepAll(t, 6)
 	must.Eq(t, writes, z.writes)
-	must.Eq(t, []*daemon{relay}, z.relays())
+	must.Eq(t, []*daemon{relay}, z.activeRelays())
 	for _, d := range z.daemons {
 		must.True(t, d == relay || d.Relayed())
 	}
@@ -37,87 +39,96 @@
 
 func TestDeadRelayIsReplaced(t *testing.T) {
 	z := newZone(4)
-	z.rounds(t, 6)
-	dead := z.relays()[0]
+	z.stepAll(t, 6)
+	dead := z.activeRelays()[0]
 	dead.dead = true
 	z.change("x", false)
-	z.rounds(t, 1)
+	z.stepAll(t, 1)
 	for _, d := range z.daemons {
 		must.True(t, d == dead || !d.Relayed() && len(d.state) == 1, must.Sprint("nobody waits for a new relay"))
 	}
-	z.rounds(t, 6)
-	must.Len(t, 1, z.relays())
+	z.stepAll(t, 6)
+	must.Len(t, 1, z.activeRelays())
 	for _, d := range z.daemons {
 		must.True(t, d.dead || d.relaying() || d.Relayed())
 	}
-	dead.restart() // it finds the record and asks the new relay
-	z.rounds(t, 6)
-	must.Len(t, 1, z.relays())
+	dead.restart() // it reads the record and polls the new relay
+	z.stepAll(t, 6)
+	must.Len(t, 1, z.activeRelays())
 	must.True(t, dead.Relayed())
 }
 
-func TestReplacedRelayGivesUp(t *testing.T) {
+// A relay that a part of the zone could not reach, and that was replaced, steps down when it
+// reads the record again.
+func TestReplacedRelayStepsDown(t *testing.T) {
 	z := newZone(3)
-	z.rounds(t, 6)
-	old := z.relays()[0]
-	old.dead = true // for the others
-	z.rounds(t, 6)
+	z.stepAll(t, 6)
+	old := z.activeRelays()[0]
+	old.dead = true // as seen by the others
+	z.stepAll(t, 6)
 	old.dead = false
 	must.True(t, old.relaying())
-	z.pass(recheckEvery)
-	z.rounds(t, 3)
-	must.Len(t, 1, z.relays())
+	z.advance(recheckInterval)
+	z.stepAll(t, 3)
+	must.Len(t, 1, z.activeRelays())
 	must.True(t, old.Relayed())
 }
 
-func TestRelayThatStopsSendsPeersElsewhere(t *testing.T) {
+func TestStoppingRelayIsReplaced(t *testing.T) {
 	z := newZone(3)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
 	relay.Close()
-	z.rounds(t, 7)
-	must.Len(t, 1, z.relays())
-	must.False(t, z.relays()[0] == relay)
+	z.stepAll(t, 7)
+	must.Len(t, 1, z.activeRelays())
+	must.False(t, z.activeRelays()[0] == relay)
 }
 
-func TestDaemonWithoutItsRelayLooksForItInTime(t *testing.T) {
+// A daemon that lost its relay waits for changes only until it is time to look for a relay
+// again. One that is shutting down looks for none, and must not poll the store in a tight loop
+// either.
+func TestDaemonWithoutRelayLooksForOneInTime(t *testing.T) {
 	z := newZone(2)
-	z.unlucky = true
-	z.rounds(t, 6)
+	z.longestDelays = true
+	z.stepAll(t, 6)
 	other := z.daemons[0]
-	if other == z.relays()[0] {
+	if other == z.activeRelays()[0] {
 		other = z.daemons[1]
 	}
 	follow := func() time.Duration {
 		_, err := other.Follow(context.Background(), entriesKind, other.at, 3*time.Second)
 		must.NoError(t, err)
-		return z.waited
+		return z.lastWait
 	}
-	z.relays()[0].dead = true
-	must.Eq(t, settleMost, follow())
-	z.pass(settleMost - time.Millisecond)
+	z.activeRelays()[0].dead = true
+	must.Eq(t, maxSettle, follow())
+	z.advance(maxSettle - time.Millisecond)
 	must.Eq(t, time.Millisecond, follow())
 	other.Close()
-	z.pass(time.Hour)
+	z.advance(time.Hour)
 	must.Eq(t, 3*time.Second, follow())
 }
 
+// Guards against a relay that is cut off from the store alone and is replaced late: one cut off
+// for 9 s with a third of all daemons left the other two thirds of its zone to the store for as
+// long. A relay out of touch was replaced only after three times the staleness bound, as if the
+// store were down for all.
 func TestRelayCutOffAloneIsReplacedSoon(t *testing.T) {
 	z := newZone(6)
-	z.rounds(t, 6)
-	old := z.relays()[0]
-	old.cut = true
-	for range 14 { // the proofs get stale, then half as long again, and the looks between
-		z.pass(500 * time.Millisecond)
+	z.stepAll(t, 6)
+	old := z.activeRelays()[0]
+	old.cutOff = true
+	for range 14 { // the proofs become stale, then half as long again, and the reads of the record in between
+		z.advance(500 * time.Millisecond)
 		for _, d := range z.daemons {
-			_ = d.step() // that of the relay fails
+			_ = d.step() // the relay's step fails
 		}
 	}
-	must.Len(t, 1, z.relays())
-	must.False(t, z.relays()[0] == old)
+	must.Len(t, 1, z.activeRelays())
+	must.False(t, z.activeRelays()[0] == old)
 	z.follows = map[*daemon]int{}
 	for range 2 {
-		z.pass(500 * time.Millisecond)
+		z.advance(500 * time.Millisecond)
 		for _, d := range z.daemons {
 			must.True(t, d.step() == nil || d == old)
 		}
@@ -125,46 +136,54 @@
 	must.MapLen(t, 1, z.follows)
 }
 
-func TestPeersHearSoonThatTheStoreIsBack(t *testing.T) {
+// Guards against peers that learn late of the end of an outage: the store was back at second
+// 26.0, and daemons served again between 27.4 and 28.5. A peer asked a relay that was out of
+// touch up to 1.5 s after its last call, although the relay's answer ends the outage for the
+// zone.
+func TestPeersLearnSoonThatStoreIsBack(t *testing.T) {
 	const tick = 50 * time.Millisecond
-	for away := range 30 { // whenever in a peer's pause it is back
+	for extraTicks := range 30 { // the store returns at any point of a peer's pause
 		z := newZone(5)
-		z.rounds(t, 6)
-		relay := z.relays()[0]
-		z.unlucky, z.down = true, true
+		z.stepAll(t, 6)
+		relay := z.activeRelays()[0]
+		z.longestDelays, z.down = true, true
 		step := func() {
-			z.pass(tick)
+			z.advance(tick)
 			for _, d := range z.daemons {
-				_ = d.step() // fails while the store is away
+				_ = d.step() // fails during the outage
 			}
 		}
-		for range 100 + away {
+		for range 100 + extraTicks {
 			step()
 		}
 		z.down = false
 		must.NoError(t, relay.step())
 		for _, d := range z.daemons {
-			d.cut = d != relay // they hear it from the relay alone
+			d.cutOff = d != relay // they can learn it from the relay alone
 		}
 		for range 600 * time.Millisecond / tick {
 			step()
 		}
 		for _, d := range z.daemons {
-			must.True(t, d == relay || d.Relayed(), must.Sprint("away for ", 100+away, " ticks"))
+			must.True(t, d == relay || d.Relayed(), must.Sprint("away for ", 100+extraTicks, " ticks"))
 		}
 	}
 }
 
-func TestDaemonThatStartsDoesNotWaitForARelayWithoutPower(t *testing.T) {
+// Guards against a start that waits for a machine without power. After all machines had lost
+// power, the zone's record named one that was still off, connections to it hung, and a daemon
+// that had just started waited 0.6 s for it: 2,675 requests were refused for want of known
+// instances, for a second and more.
+func TestStartDoesNotWaitForRelayWithoutPower(t *testing.T) {
 	z := newZone(2)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
 	other := z.daemons[0]
 	if other == relay {
 		other = z.daemons[1]
 	}
 	other.restart()
-	other.o.Peers = hanging{z}
+	other.opts.Peers = hangingTransport{z}
 	must.NoError(t, other.step()) // lists
 	begun := time.Now()
 	must.NoError(t, other.step())
@@ -173,5 +192,5 @@
 	must.Eq(t, z.state(), other.state)
 }
 
-// hanging is a transport to machines without power.
-type hanging struct{ Transport }
+// hangingTransport is a transport to machines without power: its calls hang.
+type hangingTransport struct{ Transport }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -13,18 +13,18 @@
 	"pearlanding/internal/objectapi"
 )
 
-// rounds lets every daemon make some steps, a while apart.
-func (z *zone) rounds(t must.T, n int) {
+// stepAll lets every daemon make n steps, 500 ms apart.
+func (z *zone) stepAll(t must.T, n int) {
 	for range n {
-		z.pass(500 * time.Millisecond)
+		z.advance(500 * time.Millisecond)
 		for _, d := range z.daemons {
 			must.NoError(t, d.step())
 		}
 	}
 }
 
-// relays lists the daemons that relay.
-func (z *zone) relays() []*daemon {
+// activeRelays lists the daemons that relay.
+func (z *zone) activeRelays() []*daemon {
 	var out []*daemon
 	for _, d := range z.daemons {
 		if !d.dead && d.relaying() {
@@ -37,13 +37,13 @@
 func TestOneDaemonOfAZoneFollowsTheStore(t *testing.T) {
 	z := newZone(5)
 	z.change("a", false)
-	z.rounds(t, 6)
-	must.Len(t, 1, z.relays())
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	must.Len(t, 1, z.activeRelays())
+	relay := z.activeRelays()[0]
 	must.True(t, relay.Serving())
 	z.follows = map[*daemon]int{}
 	z.change("b", false)
-	z.rounds(t, 4)
+	z.stepAll(t, 4)
 	must.Eq(t, map[*daemon]int{relay: 4}, z.follows)
 	for _, d := range z.daemons {
 		must.Eq(t, z.state(), d.state)
@@ -52,31 +52,31 @@
 	}
 }
 
-// A daemon that plans needs the store's own word.
+// The planner needs the store's own answers.
 func TestPlannerFollowsTheStoreItself(t *testing.T) {
 	z := newZone(2)
-	z.rounds(t, 6)
+	z.stepAll(t, 6)
 	planner := z.daemons[0]
 	if planner.relaying() {
 		planner = z.daemons[1]
 	}
 	planner.planner = true
 	before := z.follows[planner]
-	z.rounds(t, 3)
+	z.stepAll(t, 3)
 	must.Eq(t, before+3, z.follows[planner])
 }
 
 func TestRelayedProofsAreNeverTooYoung(t *testing.T) {
 	z := newZone(2)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
 	other := z.daemons[0]
 	if other == relay {
 		other = z.daemons[1]
 	}
 	must.NoError(t, relay.step())
 	asked := z.now
-	z.pass(900*time.Millisecond + time.Nanosecond)
+	z.advance(900*time.Millisecond + time.Nanosecond)
 	c, err := other.Follow(context.Background(), entriesKind, other.at, time.Second)
 	must.NoError(t, err)
 	must.Eq(t, 901*time.Millisecond, c.Age)
@@ -84,21 +84,21 @@
 	must.False(t, other.config.After(asked))
 }
 
-// A proof's age counts back from when its relay told it, which was no earlier than the time
-// for which it held the call after the call was sent. A relay that says more than went by is
-// not believed.
-func TestAgeCountsFromWhenARelayHeldTheCall(t *testing.T) {
+// A proof's age counts back from when the relay answered, which was no earlier than the sending
+// of the call plus the time for which the relay held it. A reported hold time that exceeds the
+// elapsed time is capped.
+func TestProofAgeSubtractsHeldTime(t *testing.T) {
 	z := newZone(2)
-	z.rounds(t, 6)
+	z.stepAll(t, 6)
 	other := z.daemons[0]
-	if other == z.relays()[0] {
+	if other == z.activeRelays()[0] {
 		other = z.daemons[1]
 	}
 	for held, age := range map[int64]time.Duration{0: 800 * time.Millisecond, 300: 500 * time.Millisecond, 60_000: 400 * time.Millisecond} {
 		asked := z.now
-		z.answers = func() NewsReply {
-			z.pass(400 * time.Millisecond)
-			return NewsReply{Held: held, EntriesAge: 800, ConfigVersion: 9, ConfigAge: 800, Revision: z.revision}
+		z.pollAnswer = func() PollReply {
+			z.advance(400 * time.Millisecond)
+			return PollReply{HeldMS: held, EntriesAgeMS: 800, ConfigVersion: 9, ConfigAgeMS: 800, Revision: z.revision}
 		}
 		c, err := other.Follow(context.Background(), entriesKind, other.at, time.Second)
 		must.NoError(t, err)
@@ -107,11 +107,11 @@
 	}
 }
 
-func TestRelayOutOfTouchIsLeftForTheStore(t *testing.T) {
+func TestPeersOfStaleRelayUseTheStore(t *testing.T) {
 	z := newZone(3)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
-	z.pass(stale + time.Millisecond) // the relay asks the store nothing
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
+	z.advance(stale + time.Millisecond) // the relay makes no call to the store
 	z.change("late", false)
 	for _, d := range z.daemons {
 		if d != relay {
@@ -122,17 +122,10 @@
 	}
 }
 
-// A relay that failed once is asked again before anybody takes its place: after an
-// outage of the store all relays look stale at once.
-// A relay that a part of the zone could not reach, and that was replaced, gives up
-// when it looks at the record again.
-// A daemon that lost its relay waits for changes until it looks for it again, and no daemon
-// asks without end: not one that stops, which looks for none.
-// What happened: while 760 engines wrote their first entries and groups formed (1,850
-// changes in two seconds), each of 295 daemons listed the whole store five to seven times,
-// 14 pages of about 22 calls that its start made. Why: a relay remembered 1,024 changes and
-// told 256, and a peer that lacked more was sent to the store. What settled it: "history
-// compacted" from the relay before each "instances listed".
+// Guards against listings during a mass start. While 760 instances wrote their first entries
+// and groups formed (1,850 changes in two seconds), each of 295 daemons listed the whole store
+// five to seven times, 14 pages of the about 22 calls that its start made: a relay remembered
+// 1,024 changes and sent 256, and a peer that was missing more had to list.
 func TestStartAmongManyChangesCostsNoListings(t *testing.T) {
 	z := newZone(20)
 	for i := range 760 {
@@ -142,100 +135,97 @@
 		for i := range 760 {
 			z.change(fmt.Sprint("e", i), false)
 		}
-		z.rounds(t, 1)
+		z.stepAll(t, 1)
 	}
-	z.rounds(t, 3)
+	z.stepAll(t, 3)
 	must.Zero(t, z.lists)
-	must.Eq(t, len(z.daemons), z.stales)
-	must.Len(t, 1, z.relays())
+	must.Eq(t, len(z.daemons), z.staleLists)
+	must.Len(t, 1, z.activeRelays())
 	for _, d := range z.daemons {
 		must.Eq(t, z.state(), d.state)
 	}
 }
 
-// Daemons that start anew one after the other, or half of a zone at once, relay included,
-// list as of some seconds ago and ask one of them for the rest.
+// Daemons that restart one after the other, or half of a zone at once, relay included, make a
+// stale listing and poll one of them for the rest.
 func TestRestartsCostNoListings(t *testing.T) {
 	z := newZone(10)
 	for i := range 50 {
 		z.change(fmt.Sprint("e", i), false)
 	}
-	z.rounds(t, 6)
+	z.stepAll(t, 6)
 	for round := range 4 {
-		z.behind = uint64(round)
+		z.staleLag = uint64(round)
 		for i := range 5 {
 			z.daemons[(round+i)%10].restart()
 		}
 		z.change("late", round%2 == 0)
-		z.rounds(t, 8)
+		z.stepAll(t, 8)
 		for _, d := range z.daemons {
 			must.Eq(t, z.state(), d.state)
 		}
 	}
 	must.Zero(t, z.lists)
-	must.Len(t, 1, z.relays())
+	must.Len(t, 1, z.activeRelays())
 }
 
-// Whoever takes a dead relay's place knows from it what came before: peers that lag a
-// little are told so, and list nothing.
-func TestNextRelayKnowsWhatCameBefore(t *testing.T) {
+// A daemon that replaces a dead relay knows the changes that it received from it: peers that
+// lag a little get them and need not list.
+func TestNewRelayKnowsEarlierChanges(t *testing.T) {
 	z := newZone(6)
 	z.change("a", false)
-	z.rounds(t, 6)
+	z.stepAll(t, 6)
 	slow := z.daemons[5]
 	must.True(t, slow.Relayed())
 	for i := range 10 {
 		z.change(fmt.Sprint("b", i), false)
 		for _, d := range z.daemons[:5] {
-			z.pass(100 * time.Millisecond)
+			z.advance(100 * time.Millisecond)
 			must.NoError(t, d.step())
 		}
 	}
-	z.relays()[0].dead = true
-	z.rounds(t, 8)
+	z.activeRelays()[0].dead = true
+	z.stepAll(t, 8)
 	must.Zero(t, z.lists)
 	must.Eq(t, z.state(), slow.state)
 }
 
-// A listing of its own, as a daemon makes that begins to plan, does not lose what a relay
-// knew: its peers are told on.
-func TestListingOfARelayCostsItsPeersNone(t *testing.T) {
+// A relay's own listing, such as the one made by a daemon that becomes the planner, keeps the
+// changes that the relay knew: its peers still get them.
+func TestRelayListingCausesNoPeerListings(t *testing.T) {
 	z := newZone(4)
 	z.change("a", false)
 	z.change("b", false)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
 	z.change("b", true)
 	z.change("c", false)
 	_, err := relay.ListKind(context.Background(), entriesKind)
 	must.NoError(t, err)
-	z.rounds(t, 2)
+	z.stepAll(t, 2)
 	must.Eq(t, 1, z.lists)
 	for _, d := range z.daemons {
-		if d != relay { // the test took its listing
+		if d != relay { // the test consumed the relay's listing
 			must.Eq(t, z.state(), d.state)
 		}
 	}
 }
 
-// What was removed before a relay began is not known to it: who lacks that lists.
-func TestAskerFromBeforeTheRelayBeganLists(t *testing.T) {
+// Removals from before a relay started are unknown to it: a peer that is missing them must
+// list.
+func TestPeerFromBeforeRelayStartLists(t *testing.T) {
 	z := newZone(2)
 	for i := range 10 {
 		z.change(fmt.Sprint("e", i), false)
 	}
-	z.rounds(t, 6)
-	r, err := z.relays()[0].news(context.Background(), NewsRequest{After: 1})
+	z.stepAll(t, 6)
+	r, err := z.activeRelays()[0].answerPoll(context.Background(), PollRequest{After: 1})
 	must.NoError(t, err)
 	must.True(t, r.Gap)
 	must.Len(t, 0, r.Changes)
 }
 
-// What happened: the relay of a zone was cut off from the store for 9 s with a third of
-// all daemons; the other two thirds of its zone each asked the store as long. Why: a relay
-// out of touch was replaced after three times its proofs' age, as if the store were away for
-// all. What settled it: "follow_the_store" of each, and no "relay taken" until the cut's end.
-// Answers larger than a peer can hold, or broken ones, are errors and no changes.
+// Answers that are too large for a peer, or malformed, return errors and no changes.
 func TestPackedChanges(t *testing.T) {
 	events := []objectapi.Event{event("a", 3), {Object: objectapi.Object{Key: "b", Version: 4, Value: []byte(`{"x":"y"}`)}}, {Object: objectapi.Object{Key: "c", Version: 5}, Removed: true}}
 	packed, err := pack(events)
@@ -252,18 +242,18 @@
 	packed, err = pack(large)
 	must.NoError(t, err)
 	_, err = unpack(packed, 0)
-	must.ErrorIs(t, err, errTooMuch)
+	must.ErrorIs(t, err, errAnswerTooLarge)
 }
 
-// Whatever fails, what a daemon takes as proved was so: every change up to the
-// proof is in its view, and the configuration had the version that it was told of.
-// When nothing fails any more, all know everything, and most through relays.
+// Under any faults, what a daemon takes as proved holds: every change up to the proof is in its
+// view, and the configuration had the version that was confirmed. Once faults end, all daemons
+// know everything, and all but the relay follow through it.
 func TestRelayedProofsHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := newZone(rapid.IntRange(2, 5).Draw(t, "daemons"))
 		changed := map[uint64]time.Time{} // when the store took a change
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
-			z.pass(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
+			z.advance(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
 			d := z.daemons[rapid.IntRange(0, len(z.daemons)-1).Draw(t, "daemon")]
 			switch rapid.IntRange(0, 19).Draw(t, "what") {
 			case 0:
@@ -273,7 +263,7 @@
 					d.restart()
 				}
 			case 2:
-				d.cut = !d.cut
+				d.cutOff = !d.cutOff
 			case 3:
 				z.down = !z.down
 			case 4:
@@ -284,7 +274,7 @@
 			case 8:
 				z.configure()
 			case 9:
-				z.behind = rapid.Uint64Range(0, 5).Draw(t, "behind")
+				z.staleLag = rapid.Uint64Range(0, 5).Draw(t, "behind")
 			default:
 				_ = d.step() // an error only means that it learns nothing
 			}
@@ -292,17 +282,17 @@
 		}
 		z.down = false
 		for _, d := range z.daemons {
-			d.cut, d.planner = false, false
+			d.cutOff, d.planner = false, false
 			if d.dead {
 				d.restart()
 			}
 		}
-		z.rounds(t, 60)
+		z.stepAll(t, 60)
 		for _, d := range z.daemons {
 			must.Eq(t, z.state(), d.state)
 			must.True(t, d.relaying() || d.Relayed())
 		}
-		must.Len(t, 1, z.relays())
+		must.Len(t, 1, z.activeRelays())
 	})
 }
 
@@ -311,13 +301,13 @@
 		if d.dead || !d.listed {
 			continue
 		}
-		least := map[string]uint64{} // newest change of each key up to the proof
+		minVersions := map[string]uint64{} // newest change of each key up to the proof
 		for _, e := range z.entries {
-			if !changed[e.Object.Version].After(d.proved) && changed[e.Object.Version] != d.proved {
-				least[e.Object.Key] = e.Object.Version
+			if !changed[e.Object.Version].After(d.provedAt) && changed[e.Object.Version] != d.provedAt {
+				minVersions[e.Object.Key] = e.Object.Version
 			}
 		}
-		for key, version := range least {
+		for key, version := range minVersions {
 			must.True(t, d.state[key] >= version || d.at >= version, must.Sprint(d.name, " missed a change that its proof covers"))
 		}
 		if !d.config.IsZero() {
@@ -326,29 +316,25 @@
 	}
 }
 
-// What happened: the store was back at second 26.0, and daemons served again between 27.4 and
-// 28.5. Why: a peer asked a relay that was out of touch up to 1.5 s after its last question,
-// though its word is what ends the outage for the zone. What settled it: "relay used" that long
-// after the relay's own "store reached again".
-// What happened: the store dropped its history, and all of 290 daemons that follow through
-// relays listed it anew. Why: a relay that was told so counted as out of touch until it had
-// listed, though the store had answered and its proofs were young; its peers turned to the
-// store, and were told the same. What settled it: 290 times "history compacted" in one second.
-func TestLostHistoryCostsAZoneOneListing(t *testing.T) {
+// Guards against a listing by every daemon after the store dropped its history: all of 290
+// daemons that followed through relays listed within one second. A relay whose history was
+// compacted counted as out of touch until it had listed, although the store had answered and
+// its proofs were young, so its peers turned to the store and met the same error.
+func TestCompactedHistoryCostsZoneOneListing(t *testing.T) {
 	z := newZone(6)
 	z.change("a", false)
-	z.rounds(t, 6)
-	relay := z.relays()[0]
+	z.stepAll(t, 6)
+	relay := z.activeRelays()[0]
 	z.change("b", false)
 	z.change("a", true)
 	z.floor = z.revision
-	must.NoError(t, relay.step()) // hears that the history is gone
+	must.NoError(t, relay.step()) // learns that the history was compacted
 	for _, d := range z.daemons {
 		if d != relay {
 			must.NoError(t, d.step())
 		}
 	}
-	z.rounds(t, 2)
+	z.stepAll(t, 2)
 	must.Eq(t, 1, z.lists)
 	for _, d := range z.daemons {
 		must.Eq(t, z.state(), d.state)
@@ -356,11 +342,7 @@
 	}
 }
 
-// What happened: after all machines had lost power, requests were refused for want of a view
-// for a second and more. Why: the record of the zone named a machine without power, to which a
-// connection hangs, and a daemon that had just started waited 0.6 s for it. What settled it:
-// 2,675 times "instances_not_known", and "relay lost" 0.6 s after "relay used".
-func (hanging) News(ctx context.Context, _ string, _ NewsRequest) (NewsReply, error) {
+func (hangingTransport) Poll(ctx context.Context, _ string, _ PollRequest) (PollReply, error) {
 	<-ctx.Done()
-	return NewsReply{}, ctx.Err()
+	return PollReply{}, ctx.Err()
 }
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -9,154 +9,154 @@
 	"pearlanding/internal/fleet"
 )
 
-// Traffic is what a daemon's own requests give to the others and take from them.
+// Traffic connects a daemon's own requests to what its zone shares.
 type Traffic struct {
-	// Spare takes out the repeats that its requests earned and that it does not need.
+	// Spare removes and returns the retry credit, by service, that its requests accrued and
+	// that it does not need.
 	Spare func(now time.Time) map[string]float64
-	// InFlight returns its requests in progress, by instance.
+	// InFlight returns its requests in flight, by instance.
 	InFlight func() map[string]int
-	// Progress returns the groups whose running streams stopped lately, and those whose
-	// bring events.
-	Progress func(now time.Time) (stopped, alive []fleet.Key)
-	// Stops is signalled when a running stream stopped.
+	// Progress returns the groups whose running streams recently stopped making progress, and
+	// those whose streams deliver events.
+	Progress func(now time.Time) (stalled, active []fleet.Key)
+	// Stops is signalled when a running stream stops making progress.
 	Stops <-chan struct{}
-	// Loaded takes in what all other daemons told.
+	// Loaded is called with what all other daemons reported.
 	Loaded func(others dispatch.Others, now time.Time)
-	// Rule is that of the zone's pool of repeats.
+	// Rule returns the rule of the zone's retry pool.
 	Rule func() dispatch.PoolRule
 }
 
-// share is a daemon's part in what its zone shares. Safe for concurrent use.
-type share struct {
-	pool  dispatch.Pool // used while peers ask this daemon
+// zoneShare is a daemon's part in what its zone shares. Safe for concurrent use.
+type zoneShare struct {
+	pool  dispatch.Pool // used while peers poll this daemon
 	loads loads
 
-	mu     sync.Mutex
-	levels map[string]float64 // of the relay's pool, as told last
-	toldAt time.Time
-	relay  string // the address that answered last; empty: none
-	// What is known of requests that end instances is asked of a relay as long as it
-	// answers, in touch with the store or not.
-	lastRelay string
-	hot       uint64 // the number that it told last
-	due       bool   // that number is news, and it was not asked since
+	mu         sync.Mutex
+	poolLevels map[string]float64 // of the relay's pool, as last received
+	levelsAt   time.Time
+	relay      string // the address that answered last; empty: none
+	// Quarantine updates are requested from a relay as long as it answers, whether or not it
+	// reaches the store.
+	lastRelay      string
+	clusterWideSeq uint64 // the sequence number that it sent last
+	syncDue        bool   // that number is new, and no sync has succeeded since
 }
 
-// found notes the relay that answers this daemon.
-func (s *share) found(relay string) {
+// setRelay records the relay that answers this daemon.
+func (s *zoneShare) setRelay(relay string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.relay = relay
-	s.remember(relay)
+	s.rememberRelay(relay)
 }
 
-// remember notes a zone's relay for what is known of requests that end instances; s.mu is
-// held.
-func (s *share) remember(relay string) {
+// rememberRelay records a zone's relay for quarantine syncs; s.mu is held.
+func (s *zoneShare) rememberRelay(relay string) {
 	if s.lastRelay != relay {
-		s.lastRelay, s.hot = relay, 0
+		s.lastRelay, s.clusterWideSeq = relay, 0
 	}
 }
 
-// last returns the relay that answered last, and whether it has news.
-func (s *share) last() (relay string, due bool) {
+// lastAnswered returns the relay that answered last, and whether it has updates.
+func (s *zoneShare) lastAnswered() (relay string, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastRelay, s.due
+	return s.lastRelay, s.syncDue
 }
 
-// untold tells whether the relay that answered last was lost and none was found since.
-func (s *share) untold() bool {
+// relayLost reports whether the relay that answered last was lost and none was found since.
+func (s *zoneShare) relayLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.relay == "" && s.lastRelay != ""
 }
 
-// asked notes that a relay is asked for its news now, or that this failed.
-func (s *share) asked(relay string, failed bool) {
+// setSyncDue records that a relay is being asked for its updates, or that this failed.
+func (s *zoneShare) setSyncDue(relay string, failed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lastRelay == relay {
-		s.due = failed
+		s.syncDue = failed
 	}
 }
 
-// heard returns the number that a relay told last.
-func (s *share) heard(relay string) uint64 {
+// lastSeq returns the sequence number that a relay sent last.
+func (s *zoneShare) lastSeq(relay string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lastRelay != relay {
 		return 0
 	}
-	return s.hot
+	return s.clusterWideSeq
 }
 
-// hear takes in the number that a relay told; false: it is no news.
-func (s *share) hear(relay string, hot uint64) bool {
+// noteSeq records the sequence number that a relay sent and reports whether it is new.
+func (s *zoneShare) noteSeq(relay string, seq uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.remember(relay)
-	news := s.hot != hot
-	s.hot, s.due = hot, s.due || news
-	return news
+	s.rememberRelay(relay)
+	isNew := s.clusterWideSeq != seq
+	s.clusterWideSeq, s.syncDue = seq, s.syncDue || isNew
+	return isNew
 }
 
-// told takes in what a relay's pool holds.
-func (s *share) told(levels map[string]float64, now time.Time) {
+// setLevels records the levels of a relay's pool.
+func (s *zoneShare) setLevels(levels map[string]float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.levels, s.toldAt = levels, now
+	s.poolLevels, s.levelsAt = levels, now
 }
 
-// lost notes that the relay does not answer.
-func (s *share) lost() {
+// clearRelay records that the relay does not answer.
+func (s *zoneShare) clearRelay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.relay, s.levels = "", nil
+	s.relay, s.poolLevels = "", nil
 }
 
-// current returns the relay and what its pool held lately.
-func (s *share) current(now time.Time) (relay string, levels map[string]float64) {
+// current returns the relay and its pool's levels, if these are recent.
+func (s *zoneShare) current(now time.Time) (relay string, levels map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.toldAt) > sharedFor {
+	if now.Sub(s.levelsAt) > levelsValidFor {
 		return s.relay, nil
 	}
-	return s.relay, s.levels
+	return s.relay, s.poolLevels
 }
 
-// Repeat asks the zone's pool for a repeat of a service; false: it has none, or there is no
-// relay. One that was granted and not used is lost to the pool.
+// Repeat takes one retry of a service from the zone's pool. It returns false if the pool has
+// none or there is no relay. A retry that was granted and not used is lost to the pool.
 func (n *Node) Repeat(ctx context.Context, service string) bool {
 	now := n.now()
 	if n.relaying() {
-		n.share.pool.Put(n.o.Traffic.Spare(now), n.o.Traffic.Rule(), now)
-		return n.share.pool.Take(service, n.o.Traffic.Rule(), now)
+		n.share.pool.Put(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
+		return n.share.pool.Take(service, n.opts.Traffic.Rule(), now)
 	}
 	relay, _ := n.share.current(now)
 	if relay == "" {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, repeatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	r, err := n.o.Peers.Repeat(ctx, relay, RepeatRequest{service})
+	r, err := n.opts.Peers.TakeRetry(ctx, relay, RetryRequest{service})
 	return err == nil && r.Granted // a pool that can't be reached grants nothing
 }
 
-// MayRepeat tells whether the zone's pool probably has a repeat of a service.
+// MayRepeat reports whether the zone's pool probably has a retry of a service.
 func (n *Node) MayRepeat(service string) bool {
 	now := n.now()
 	if n.relaying() {
-		return n.share.pool.Levels(n.o.Traffic.Rule(), now)[service] >= 1
+		return n.share.pool.Levels(n.opts.Traffic.Rule(), now)[service] >= 1
 	}
 	_, levels := n.share.current(now)
 	return levels[service] >= 1
 }
 
-// answerRepeat answers a peer that needs a repeat.
-func (n *Node) answerRepeat(_ context.Context, r RepeatRequest) (RepeatReply, error) {
+// answerRetry answers a peer that needs a retry.
+func (n *Node) answerRetry(_ context.Context, r RetryRequest) (RetryReply, error) {
 	if !n.relaying() {
-		return RepeatReply{}, nil
+		return RetryReply{}, nil
 	}
-	return RepeatReply{n.share.pool.Take(r.Service, n.o.Traffic.Rule(), n.now())}, nil
+	return RetryReply{n.share.pool.Take(r.Service, n.opts.Traffic.Rule(), n.now())}, nil
 }
--- a/internal/relay/share_cost_test.go
+++ b/internal/relay/share_cost_test.go
@@ -11,44 +11,45 @@
 	"pearlanding/internal/dispatch"
 )
 
-// busyRelay is a relay whose zone's daemons told their loads, with so many replicas each.
-func busyRelay(daemons, replicas int, now time.Time) (*Node, ShareRequest) {
-	n := &Node{o: Options{Now: func() time.Time { return now }, Stale: func() time.Duration { return time.Second }, Gate: (&zone{}).gate(),
+// newBusyRelay returns a relay whose zone's daemons reported their loads, each for a number of
+// replicas, and the last daemon's report.
+func newBusyRelay(daemons, replicas int, now time.Time) (*Node, ShareRequest) {
+	n := &Node{opts: Options{Now: func() time.Time { return now }, Stale: func() time.Duration { return time.Second }, Gate: (&zone{}).gate(),
 		Traffic: Traffic{Rule: func() dispatch.PoolRule { return dispatch.PoolRule{} }}}, history: newHistory(), reports: newReports()}
-	n.holding.Store(true)
-	n.reached.Store(true)
-	var word ShareRequest
+	n.isRelay.Store(true)
+	n.storeReached.Store(true)
+	var request ShareRequest
 	for d := range daemons {
-		word = ShareRequest{From: fmt.Sprint("d", d), Loads: map[string]int{}}
+		request = ShareRequest{From: fmt.Sprint("d", d), Loads: map[string]int{}}
 		for r := range replicas {
-			word.Loads[fmt.Sprintf("i-%05d", r)] = 1
-			word.Alive = append(word.Alive, groupRef{fmt.Sprintf("m0-%08d", r), uint64(r)})
+			request.Loads[fmt.Sprintf("i-%05d", r)] = 1
+			request.ActiveGroups = append(request.ActiveGroups, groupRef{fmt.Sprintf("m0-%08d", r), uint64(r)})
 		}
-		n.share.loads.note(word, now)
+		n.share.loads.note(request, now)
 	}
-	return n, word
+	return n, request
 }
 
-// Guards against answers that count every group of every peer anew: a relay of a hundred daemons
-// spent a third of a core on them.
-func TestAnswerToAPeerDoesNotGrowWithWhatAllSay(t *testing.T) {
+// Guards against answers that count every group of every peer again: a relay of a hundred
+// daemons spent a third of a core on them.
+func TestShareAnswerCostIsIndependentOfGroups(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cost := func(replicas int) float64 {
-		n, word := busyRelay(50, replicas, now)
+		n, request := newBusyRelay(50, replicas, now)
 		return testing.AllocsPerRun(10, func() {
-			_, _, err := n.shared(word)
+			_, _, err := n.mergeShare(request)
 			must.NoError(t, err)
 		})
 	}
 	must.LessEq(t, cost(10)+2, cost(200))
 }
 
-// Peers of the version before read the same answer.
-func TestEncodedAnswerIsTheSame(t *testing.T) {
-	n, word := busyRelay(3, 5, time.Unix(1000, 0))
-	plain, err := n.answerShare(t.Context(), word)
+// Peers of the previous version decode the same answer.
+func TestEncodedShareEqualsPlainShare(t *testing.T) {
+	n, request := newBusyRelay(3, 5, time.Unix(1000, 0))
+	plain, err := n.answerShare(t.Context(), request)
 	must.NoError(t, err)
-	encoded, err := n.answerShareEncoded(t.Context(), word)
+	encoded, err := n.answerShareEncoded(t.Context(), request)
 	must.NoError(t, err)
 	text, err := json.Marshal(encoded)
 	must.NoError(t, err)
@@ -59,13 +60,13 @@
 	must.Eq(t, plain.Daemons, read.Daemons)
 }
 
-// BenchmarkAnswerShare is what a relay spends on one of its peers, four times a second.
+// BenchmarkAnswerShare measures what a relay spends on one of its peers, four times a second.
 func BenchmarkAnswerShare(b *testing.B) {
 	for _, daemons := range []int{10, 100} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
-			n, word := busyRelay(daemons, 200, time.Unix(1000, 0))
+			n, request := newBusyRelay(daemons, 200, time.Unix(1000, 0))
 			for b.Loop() {
-				reply, err := n.answerShareEncoded(b.Context(), word)
+				reply, err := n.answerShareEncoded(b.Context(), request)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/relay/share_messages.go
+++ b/internal/relay/share_messages.go
@@ -8,50 +8,53 @@
 	"pearlanding/internal/fleet"
 )
 
-// Names of the calls by which daemons share what they have.
+// Names of the calls by which daemons share loads and retries.
 const (
-	// methodShare tells a relay a daemon's load and hands over what it has to spare.
+	// methodShare sends a daemon's load to a relay and hands over spare retry credit.
 	methodShare = "relay.share"
-	// methodRepeat asks a relay for a repeat of its zone's pool.
-	methodRepeat = "relay.repeat"
-	// methodLoads asks another zone's relay what its daemons have in progress.
+	// methodRetry takes one retry from the pool of a relay's zone.
+	methodRetry = "relay.repeat"
+	// methodLoads asks another zone's relay for the requests in flight of its daemons.
 	methodLoads = "relay.loads"
 )
 
-// Times of what daemons share.
+// Intervals, timeouts and validity of what daemons share.
 const (
-	// repeatTimeout bounds the call for a repeat, for which a request waits: links in a zone
-	// take a tenth of a millisecond, a busy relay some ms.
-	repeatTimeout = 60 * time.Millisecond
-	// shareEvery is how often a daemon tells its load, and a relay asks those of other
-	// zones: loads as old as a stream lasts spread streams no better than chance does.
-	shareEvery   = 250 * time.Millisecond
-	shareTimeout = 200 * time.Millisecond
-	// loadFor is how long a daemon's word of its load counts.
-	loadFor = time.Second
-	// sumFor is how long a sum of loads is told to peers: 59 of them ask four times a second.
-	sumFor = 50 * time.Millisecond
-	// relayList is how often a relay looks who the others are, which is a call to the store.
-	relayList = 5 * time.Second
-	// sharedFor is how long what a relay told of its pool counts.
-	sharedFor = 2 * time.Second
+	// retryTimeout bounds the call for a retry, which delays a request: links in a zone take a
+	// tenth of a millisecond, a busy relay a few ms.
+	retryTimeout = 60 * time.Millisecond
+	// shareInterval is how often a daemon sends its load, and a relay asks for those of other
+	// zones: loads as old as a stream's duration balance streams no better than random choice.
+	shareInterval = 250 * time.Millisecond
+	shareTimeout  = 200 * time.Millisecond
+	// loadValidFor is how long a daemon's report of its load counts.
+	loadValidFor = time.Second
+	// totalValidFor is how long a total of loads is reused for peers: 59 of them ask four times
+	// a second.
+	totalValidFor = 50 * time.Millisecond
+	// relayListInterval is how often a relay lists the other relays, which is a call to the
+	// store.
+	relayListInterval = 5 * time.Second
+	// levelsValidFor is how long the pool levels sent by a relay count.
+	levelsValidFor = 2 * time.Second
 )
 
-// ShareRequest tells what a daemon has in progress, by instance, and hands repeats over, by
-// service. From is the daemon, unique for each life of a process.
+// ShareRequest carries a daemon's requests in flight, by instance, and its spare retry credit,
+// by service. From identifies the daemon, unique for each process.
 type ShareRequest struct {
 	From    string             `json:"from"`
 	Loads   map[string]int     `json:"loads,omitempty"`
-	Repeats map[string]float64 `json:"repeats,omitempty"`
-	// Stopped are the groups whose running streams stopped for the daemon lately, Alive those
-	// whose bring it events.
-	Stopped []groupRef `json:"stopped,omitempty"`
-	Alive   []groupRef `json:"alive,omitempty"`
-	// Standing are the instances whose running streams stopped for the daemon lately.
-	Standing []string `json:"standing,omitempty"`
+	Retries map[string]float64 `json:"repeats,omitempty"`
+	// StalledGroups are the groups whose running streams recently stopped making progress for
+	// the daemon, ActiveGroups those whose streams deliver events.
+	StalledGroups []groupRef `json:"stopped,omitempty"`
+	ActiveGroups  []groupRef `json:"alive,omitempty"`
+	// StalledInstances are the instances whose running streams recently stopped making progress
+	// for the daemon.
+	StalledInstances []string `json:"standing,omitempty"`
 }
 
-// groupRef names one assembly of a group.
+// groupRef identifies one formation of a group.
 type groupRef struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
@@ -73,40 +76,40 @@
 	return out
 }
 
-// ShareReply tells what all daemons have in progress, the asker's word included, and what
-// the zone's pool of repeats holds.
+// ShareReply carries the requests in flight of all daemons, the caller included, and the levels
+// of the zone's retry pool.
 type ShareReply struct {
 	Loads   map[string]int     `json:"loads,omitempty"`
-	Repeats map[string]float64 `json:"repeats,omitempty"`
-	// Standing are the groups that stand still.
-	Standing []groupRef `json:"standing,omitempty"`
-	Daemons  int        `json:"daemons"` // that told their loads
-	// Limits is what the relay knows of instances that limit their requests.
+	Retries map[string]float64 `json:"repeats,omitempty"`
+	// StalledGroups are the groups that are stalled for several daemons.
+	StalledGroups []groupRef `json:"standing,omitempty"`
+	Daemons       int        `json:"daemons"` // number that reported their loads
+	// Limits are the limits known to the relay.
 	Limits []backpressure.Update `json:"limits,omitempty"`
-	// Quarantine is as in NewsReply.
-	Quarantine uint64 `json:"quarantine,omitempty"`
+	// QuarantineSeq is as in PollReply.
+	QuarantineSeq uint64 `json:"quarantine,omitempty"`
 }
 
-// encodedShare is a ShareReply on the wire whose loads are encoded already.
+// encodedShare is a ShareReply on the wire whose loads are already encoded.
 type encodedShare struct {
 	Loads json.RawMessage `json:"loads,omitempty"`
 	ShareReply
 }
 
-// RepeatRequest asks for one repeat of a service.
-type RepeatRequest struct {
+// RetryRequest asks for one retry of a service.
+type RetryRequest struct {
 	Service string `json:"service"`
 }
 
-// RepeatReply grants it or not.
-type RepeatReply struct {
+// RetryReply grants or refuses a retry.
+type RetryReply struct {
 	Granted bool `json:"granted"`
 }
 
-// LoadsReply is what the daemons of a zone have in progress, by instance, and the groups
-// that stand still for them.
+// LoadsReply carries the requests in flight of a zone's daemons, by instance, and the groups
+// that are stalled for them.
 type LoadsReply struct {
-	Loads    map[string]int `json:"loads,omitempty"`
-	Standing []groupRef     `json:"standing,omitempty"`
-	Daemons  int            `json:"daemons"`
+	Loads         map[string]int `json:"loads,omitempty"`
+	StalledGroups []groupRef     `json:"standing,omitempty"`
+	Daemons       int            `json:"daemons"`
 }
--- a/internal/relay/share_test.go
+++ b/internal/relay/share_test.go
@@ -11,12 +11,12 @@
 	"pearlanding/internal/objectapi"
 )
 
-// settled returns a zone that has a relay, with the relay and two of its peers.
-func settled(t *testing.T) (z *zone, relay, a, b *daemon) {
+// zoneWithRelay returns a zone that has a relay, with the relay and two of its peers.
+func zoneWithRelay(t *testing.T) (z *zone, relay, a, b *daemon) {
 	t.Helper()
 	z = newZone(3)
-	z.rounds(t, 6)
-	relay = z.relays()[0]
+	z.stepAll(t, 6)
+	relay = z.activeRelays()[0]
 	var peers []*daemon
 	for _, d := range z.daemons {
 		if d != relay {
@@ -26,7 +26,7 @@
 	return z, relay, peers[0], peers[1]
 }
 
-// recordsOf answers with records that name relays.
+// recordsOf returns a function that lists records naming these relays.
 func recordsOf(relays ...string) func(context.Context) (objectapi.Listing, error) {
 	var l objectapi.Listing
 	for _, address := range relays {
@@ -35,62 +35,62 @@
 	return func(context.Context) (objectapi.Listing, error) { return l, nil }
 }
 
-// exchange lets every daemon of the zone exchange loads once, the relay last.
-func (z *zone) exchange() {
-	z.pass(sumFor + 1)
-	for _, relays := range []bool{false, true} {
+// exchangeAll lets every daemon of the zone exchange loads once, the relay last.
+func (z *zone) exchangeAll() {
+	z.advance(totalValidFor + 1)
+	for _, isRelay := range []bool{false, true} {
 		for _, d := range z.daemons {
-			if !d.dead && d.relaying() == relays {
+			if !d.dead && d.relaying() == isRelay {
 				x := &Exchange{Node: d.Node, List: recordsOf()}
-				x.once(context.Background())
+				x.runOnce(context.Background())
 			}
 		}
 	}
 }
 
-// A daemon is told what all others have in progress: its own part is left out, whatever it
-// told the relay before.
-func TestDaemonsAreToldWhatOthersHaveInProgress(t *testing.T) {
-	z, relay, a, b := settled(t)
+// A daemon receives what all others have in flight: its own part is left out, whatever it
+// reported to the relay before.
+func TestDaemonsReceiveLoadsOfOthers(t *testing.T) {
+	z, relay, a, b := zoneWithRelay(t)
 	a.inFlight, b.inFlight, relay.inFlight = map[string]int{"x": 2, "y": 1}, map[string]int{"x": 3}, map[string]int{"y": 4}
-	z.exchange()
-	z.exchange()
+	z.exchangeAll()
+	z.exchangeAll()
 	must.Eq(t, map[string]int{"x": 3, "y": 4}, a.others)
 	must.Eq(t, map[string]int{"x": 2, "y": 5}, b.others)
 	must.Eq(t, map[string]int{"x": 5, "y": 1}, relay.others)
-	must.Eq(t, []int{3, 3, 3}, []int{a.told, b.told, relay.told})
+	must.Eq(t, []int{3, 3, 3}, []int{a.reporters, b.reporters, relay.reporters})
 	a.dead = true
-	z.pass(loadFor / 2)
-	z.exchange()
-	z.pass(loadFor/2 + 1)
-	z.exchange()
-	must.Eq(t, map[string]int{"x": 3}, relay.others, must.Sprint("a word counts for a while only"))
+	z.advance(loadValidFor / 2)
+	z.exchangeAll()
+	z.advance(loadValidFor/2 + 1)
+	z.exchangeAll()
+	must.Eq(t, map[string]int{"x": 3}, relay.others, must.Sprint("a report expires"))
 }
 
-// Relays of two zones tell one another the sums of theirs, and each its peers.
-func TestZonesTellOneAnotherTheirLoads(t *testing.T) {
-	z, relay, a, _ := settled(t)
-	other, far, _, c := settled(t)
+// Relays of two zones exchange the totals of their zones, and each sends them to its peers.
+func TestZonesExchangeLoads(t *testing.T) {
+	z, relay, a, _ := zoneWithRelay(t)
+	other, remoteRelay, _, c := zoneWithRelay(t)
 	c.inFlight, a.inFlight = map[string]int{"x": 7}, map[string]int{"x": 1}
-	z.exchange()
-	other.exchange()
-	relay.o.Peers = other // both name their daemons alike
-	relay.o.Address = "here"
-	x := &Exchange{Node: relay.Node, List: recordsOf("here", far.name, "nobody")}
-	x.once(context.Background())
+	z.exchangeAll()
+	other.exchangeAll()
+	relay.opts.Peers = other // both zones name their daemons alike
+	relay.opts.Address = "here"
+	x := &Exchange{Node: relay.Node, List: recordsOf("here", remoteRelay.name, "nobody")}
+	x.runOnce(context.Background())
 	must.Eq(t, map[string]int{"x": 8}, relay.others)
-	z.pass(sumFor + 1)
-	z.exchange()
+	z.advance(totalValidFor + 1)
+	z.exchangeAll()
 	must.Eq(t, map[string]int{"x": 7}, a.others)
 }
 
-// What one daemon has to spare another one may use, once.
-func TestRepeatsAreShared(t *testing.T) {
-	z, relay, a, b := settled(t)
+// Spare retry credit of one daemon may be used by another one, once.
+func TestRetriesAreShared(t *testing.T) {
+	z, relay, a, b := zoneWithRelay(t)
 	must.False(t, b.Repeat(context.Background(), "s"))
 	a.spare = map[string]float64{"s": 1.2}
 	relay.spare = map[string]float64{"s": 0.3}
-	z.exchange()
+	z.exchangeAll()
 	must.False(t, b.MayRepeat("other"))
 	must.True(t, b.Repeat(context.Background(), "s"))
 	must.False(t, b.Repeat(context.Background(), "s"))
@@ -98,40 +98,40 @@
 	must.True(t, relay.Repeat(context.Background(), "s"))
 }
 
-// A daemon knows by the last answer whether the pool has some, and does not ask a relay
-// that is gone.
-func TestRepeatsOfARelayThatIsGone(t *testing.T) {
-	z, relay, a, b := settled(t)
+// A daemon knows by the last answer whether the pool has retries, and does not ask a relay that
+// is gone.
+func TestRetriesAfterRelayLoss(t *testing.T) {
+	z, relay, a, b := zoneWithRelay(t)
 	a.spare = map[string]float64{"s": 5}
-	z.exchange()
+	z.exchangeAll()
 	must.True(t, b.MayRepeat("s"))
 	relay.dead = true
 	must.False(t, b.Repeat(context.Background(), "s"))
-	z.pass(sharedFor + 1)
+	z.advance(levelsValidFor + 1)
 	must.False(t, b.MayRepeat("s"))
-	z.rounds(t, 8)
+	z.stepAll(t, 8)
 	must.False(t, b.MayRepeat("s"), must.Sprint("the next relay's pool begins empty"))
 	a.spare = map[string]float64{"s": 5}
-	z.exchange()
-	must.True(t, z.relays()[0].MayRepeat("s"))
+	z.exchangeAll()
+	must.True(t, z.activeRelays()[0].MayRepeat("s"))
 }
 
-// A group stands still for all when it does for two daemons and brings nobody events; the
-// word of one alone says little, and one that sees events outweighs all.
-func TestGroupsThatStandStillAreTold(t *testing.T) {
-	z, relay, a, b := settled(t)
+// A group is stalled for all when it is for two daemons and delivers events to none. One report
+// alone is not enough, and one daemon that receives events outweighs all reports.
+func TestStalledGroupsAreAnnounced(t *testing.T) {
+	z, relay, a, b := zoneWithRelay(t)
 	group := fleet.Key{Name: "g", Epoch: 3}
-	a.stopped = []fleet.Key{group}
-	z.exchange()
-	z.exchange()
-	must.MapEmpty(t, b.left)
-	relay.stopped = []fleet.Key{group}
-	z.exchange()
-	z.exchange()
-	must.Eq(t, map[fleet.Key]bool{group: true}, b.left)
-	must.Eq(t, b.left, relay.left)
-	b.alive = []fleet.Key{group}
-	z.exchange()
-	z.exchange()
-	must.MapEmpty(t, a.left)
+	a.stalledGroups = []fleet.Key{group}
+	z.exchangeAll()
+	z.exchangeAll()
+	must.MapEmpty(t, b.stalledForAll)
+	relay.stalledGroups = []fleet.Key{group}
+	z.exchangeAll()
+	z.exchangeAll()
+	must.Eq(t, map[fleet.Key]bool{group: true}, b.stalledForAll)
+	must.Eq(t, b.stalledForAll, relay.stalledForAll)
+	b.activeGroups = []fleet.Key{group}
+	z.exchangeAll()
+	z.exchangeAll()
+	must.MapEmpty(t, a.stalledForAll)
 }
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -14,42 +14,43 @@
 )
 
 // A daemon that starts needs every entry once. Where many daemons would read many entries, the
-// store's link is the bottleneck when they start together. They take a snapshot from their
-// zone's relay then, or from a daemon that the relay names because it got one a moment ago, so
-// that no link carries more copies than it can within copyWindow. A snapshot is what an old
-// listing of the store is: it proves nothing until the changes after it are known.
+// store's link is the bottleneck when they start together. They then take a snapshot from their
+// zone's relay, or from a daemon that the relay names because it recently got one, so that no
+// link carries more copies than it can within copyWindow. A snapshot is equivalent to a stale
+// listing of the store: it proves nothing until the changes after it are known.
 
 const methodSnapshot = "relay.snapshot"
 
 const (
-	// distributeBytes is how much all daemons may read from the store if they start together;
-	// beyond it they take snapshots. It is a fifth of a second of a link of 1,000 Mbit/s.
-	distributeBytes = 25_000_000
-	// snapshotHold is how long a call for a snapshot waits at a daemon that has none yet.
-	snapshotHold = 200 * time.Millisecond
-	// snapshotTimeout bounds such a call with the transfer of the snapshot.
+	// maxStoreReadBytes is how much all daemons may read from the store if they start together;
+	// beyond it they take snapshots. It is a fifth of a second of a 1,000 Mbit/s link.
+	maxStoreReadBytes = 25_000_000
+	// snapshotWait is how long a call for a snapshot waits at a daemon that has none yet.
+	snapshotWait = 200 * time.Millisecond
+	// snapshotTimeout bounds such a call including the transfer of the snapshot.
 	snapshotTimeout = time.Second
-	// snapshotReuse is how long a packed snapshot is handed out again.
+	// snapshotReuse is how long a packed snapshot is reused.
 	snapshotReuse = time.Second
-	// copyShare of a link carries, within copyWindow, the copies that its daemon hands out.
+	// copyShare is the fraction of a link's capacity within copyWindow that is used for
+	// snapshot copies.
 	copyWindow = 200 * time.Millisecond
 	copyShare  = 0.5
-	// sourceFor is how long a daemon that was sent a snapshot is named as a source.
-	sourceFor = time.Second
-	// snapshotRetry is the pause between two calls for a snapshot.
-	snapshotRetry = 50 * time.Millisecond
-	// snapshotLeast and snapshotMost bound how long a daemon tries to get a snapshot before it
-	// lists from the store.
-	snapshotLeast = 1500 * time.Millisecond
-	snapshotMost  = 3 * time.Second
+	// sourceValidFor is how long a daemon that was sent a snapshot is named as a source.
+	sourceValidFor = time.Second
+	// snapshotRetryInterval is the pause between two calls for a snapshot.
+	snapshotRetryInterval = 50 * time.Millisecond
+	// minSnapshotTime and maxSnapshotTime bound how long a daemon tries to get a snapshot
+	// before it lists from the store.
+	minSnapshotTime = 1500 * time.Millisecond
+	maxSnapshotTime = 3 * time.Second
 )
 
 // errNoSnapshot: this daemon must list from the store.
-const errNoSnapshot = errors.ConstError("relay: no snapshot to be had")
+const errNoSnapshot = errors.ConstError("relay: no snapshot available")
 
 // SnapshotRequest asks for all entries.
 type SnapshotRequest struct {
-	Address  string  `json:"address"` // where the asker answers peers
+	Address  string  `json:"address"` // where the caller serves peers
 	LinkMbps float64 `json:"link_mbps"`
 	// Direct: the daemon that was named before did not answer.
 	Direct bool `json:"direct,omitempty"`
@@ -59,7 +60,7 @@
 type SnapshotReply struct {
 	Entries  []byte `json:"entries,omitempty"` // packed
 	Revision uint64 `json:"revision,omitempty"`
-	Ask      string `json:"ask,omitempty"` // address
+	Ask      string `json:"ask,omitempty"` // address of the daemon to ask instead
 }
 
 // Snapshot implements Transport.
@@ -69,28 +70,28 @@
 	return out, err
 }
 
-// answerSnapshot answers a daemon that starts. Unless this daemon relays, it sends the entries
-// itself: a relay named it.
+// answerSnapshot answers a daemon that starts. A daemon that is not a relay sends the entries
+// itself, as a relay named it.
 func (n *Node) answerSnapshot(ctx context.Context, r SnapshotRequest) (SnapshotReply, error) {
 	snapshot, err := n.awaitSnapshot(ctx)
 	if err != nil {
 		return SnapshotReply{}, err
 	}
 	if n.Holding() && !r.Direct {
-		if source := n.copies.assign(r, n.o.LinkMbps, len(snapshot.Entries), n.now()); source != "" {
+		if source := n.copies.assignSource(r, n.opts.LinkMbps, len(snapshot.Entries), n.now()); source != "" {
 			return SnapshotReply{Ask: source}, nil
 		}
 	}
 	return snapshot, nil
 }
 
-// awaitSnapshot returns all entries, as soon as this daemon knows them.
+// awaitSnapshot returns all entries as soon as this daemon knows them.
 func (n *Node) awaitSnapshot(ctx context.Context) (SnapshotReply, error) {
-	timer := time.NewTimer(snapshotHold)
+	timer := time.NewTimer(snapshotWait)
 	defer timer.Stop()
 	for {
-		_, _, changed := n.history.state()
-		if n.closed.Load() {
+		_, _, changed := n.history.proofs()
+		if n.stopping.Load() {
 			return SnapshotReply{}, jrpc2.Errorf(codeStopping, "stopping")
 		}
 		snapshot, known, err := n.copies.current(n.history, n.now())
@@ -107,28 +108,28 @@
 	}
 }
 
-// copies hands out snapshots. Safe for concurrent use; time is passed in.
-type copies struct {
-	mu       sync.Mutex
-	snapshot SnapshotReply
-	packed   time.Time // when snapshot was packed; zero: never
-	sources  []source  // in the order in which they were sent a snapshot
-	window   time.Time // when the current copyWindow began
-	sent     int       // copies by this daemon itself since
+// snapshotCopies hands out snapshots. Safe for concurrent use; time is passed in.
+type snapshotCopies struct {
+	mu          sync.Mutex
+	snapshot    SnapshotReply
+	packedAt    time.Time // zero: never
+	sources     []source  // in the order in which they were sent a snapshot
+	windowStart time.Time // start of the current copyWindow
+	sent        int       // copies sent by this daemon in the current window
 }
 
 // source is a daemon that was sent a snapshot, or is about to be.
 type source struct {
-	address string
-	left    int // copies that it may be asked for
-	since   time.Time
+	address    string
+	copiesLeft int // copies that it may still be asked for
+	since      time.Time
 }
 
-// current returns the entries of a history, packed; false: they are not known.
-func (c *copies) current(h *history, now time.Time) (SnapshotReply, bool, error) {
+// current returns the packed entries of a history; false: they are not known.
+func (c *snapshotCopies) current(h *history, now time.Time) (SnapshotReply, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.packed.IsZero() && now.Sub(c.packed) < snapshotReuse && h.hasAllAfter(c.snapshot.Revision) {
+	if !c.packedAt.IsZero() && now.Sub(c.packedAt) < snapshotReuse && h.hasAllAfter(c.snapshot.Revision) {
 		return c.snapshot, true, nil
 	}
 	events, revision, known := h.snapshot()
@@ -139,34 +140,34 @@
 	if err != nil {
 		return SnapshotReply{}, false, err
 	}
-	c.snapshot, c.packed = SnapshotReply{Entries: entries, Revision: revision}, now
+	c.snapshot, c.packedAt = SnapshotReply{Entries: entries, Revision: revision}, now
 	return c.snapshot, true, nil
 }
 
-// keep takes a packed snapshot of another daemon, to be handed on as it is.
-func (c *copies) keep(s SnapshotReply, now time.Time) {
+// adopt stores a packed snapshot of another daemon, to be handed on unchanged.
+func (c *snapshotCopies) adopt(s SnapshotReply, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.snapshot, c.packed = s, now
+	c.snapshot, c.packedAt = s, now
 }
 
-// assign chooses who sends the next copy of a size: this daemon (empty) while its own link
-// carries it within the window, otherwise the first source that has copies left. With none left
-// this daemon sends it too.
-func (c *copies) assign(r SnapshotRequest, linkMbps float64, size int, now time.Time) string {
+// assignSource chooses the sender of the next copy of a size: this daemon (empty) while its own
+// link can carry it within the window, otherwise the first source that has copies left. If none
+// has, this daemon sends it too.
+func (c *snapshotCopies) assignSource(r SnapshotRequest, linkMbps float64, size int, now time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.window) >= copyWindow {
-		c.window, c.sent = now, 0
+	if now.Sub(c.windowStart) >= copyWindow {
+		c.windowStart, c.sent = now, 0
 	}
-	for len(c.sources) > 0 && (c.sources[0].left <= 0 || now.Sub(c.sources[0].since) > sourceFor) {
+	for len(c.sources) > 0 && (c.sources[0].copiesLeft <= 0 || now.Sub(c.sources[0].since) > sourceValidFor) {
 		c.sources = c.sources[1:]
 	}
 	from := ""
 	if c.sent >= copiesPerWindow(linkMbps, size) {
 		for i := range c.sources {
-			if s := &c.sources[i]; s.left > 0 && s.address != r.Address {
-				s.left--
+			if s := &c.sources[i]; s.copiesLeft > 0 && s.address != r.Address {
+				s.copiesLeft--
 				from = s.address
 				break
 			}
@@ -179,31 +180,35 @@
 	return from
 }
 
-// copiesPerWindow is how many copies of a size in bytes a daemon hands out within copyWindow, at
-// least two, so that their number grows with each step from source to source. JSON carries bytes as base64.
+// copiesPerWindow returns how many copies of a size in bytes a daemon may send within
+// copyWindow: at least two, so that their number grows with each hop from source to source.
+// JSON carries bytes as base64.
 func copiesPerWindow(linkMbps float64, size int) int {
 	const bytesPerMbit, base64Growth = 125_000, 4.0 / 3
 	return max(2, int(copyShare*linkMbps*bytesPerMbit*copyWindow.Seconds()/(float64(size)*base64Growth)))
 }
 
-// distributes tells whether daemons that start together should take snapshots, as reading the
-// entries from the store would take its link too long.
-func distributes(entriesBytes, daemons int) bool { return entriesBytes*daemons > distributeBytes }
+// exceedsStoreLink reports whether daemons that start together should take snapshots, as
+// reading the entries from the store would occupy its link for too long.
+func exceedsStoreLink(entriesBytes, daemons int) bool {
+	return entriesBytes*daemons > maxStoreReadBytes
+}
 
-// takeSnapshot gets all entries from the zone's relay, or from whom it names. errNoSnapshot: this
-// daemon is the relay, the fleet is small enough to list, or nobody had them in time.
-func (n *Node) takeSnapshot(ctx context.Context) (objectapi.Listing, error) {
+// fetchSnapshot gets all entries from the zone's relay, or from the daemon that it names.
+// errNoSnapshot: this daemon is the relay, the fleet is small enough to list, or no daemon had
+// the entries in time.
+func (n *Node) fetchSnapshot(ctx context.Context) (objectapi.Listing, error) {
 	began := n.now()
 	n.starting = true
 	defer func() { n.starting = false }()
-	for end := began.Add(n.o.Uniform(snapshotLeast, snapshotMost)); ctx.Err() == nil && n.now().Before(end); {
-		if n.peer == "" && !n.now().Before(n.lookAt) {
-			n.look(ctx)
+	for end := began.Add(n.opts.Uniform(minSnapshotTime, maxSnapshotTime)); ctx.Err() == nil && n.now().Before(end); {
+		if n.relayAddress == "" && !n.now().Before(n.nextLookAt) {
+			n.readRecords(ctx)
 		}
-		if n.holding.Load() || !n.distributed.Load() {
+		if n.isRelay.Load() || !n.distributeSnapshots.Load() {
 			break
 		}
-		relay := n.peer
+		relay := n.relayAddress
 		if relay == "" {
 			relay = n.suspect
 		}
@@ -211,57 +216,57 @@
 			l, err := n.askSnapshot(ctx, relay)
 			switch {
 			case err == nil:
-				if n.peer == "" {
-					n.use(relay)
+				if n.relayAddress == "" {
+					n.useRelay(relay)
 				}
-				n.o.Log.Info("entries taken from a snapshot", zap.Int("entries", len(l.Objects)), zap.Int("bytes", l.Transfer.Bytes),
+				n.opts.Log.Info("entries loaded from a peer's snapshot", zap.Int("entries", len(l.Objects)), zap.Int("bytes", l.Transfer.Bytes),
 					zap.Uint64("revision", l.Revision), zap.Int64("after_ms", n.now().Sub(began).Milliseconds()))
 				return l, nil
 			case errors.Is(err, errNoSnapshot):
 				return objectapi.Listing{}, err
-			case n.peer != "" && !answered(err):
-				n.lost(err)
-			case n.peer != "" && n.now().Sub(n.usedAt) > settleLeast:
-				n.peer, n.lookAt = "", n.now() // another daemon may have taken its place
+			case n.relayAddress != "" && !isRelayAnswer(err):
+				n.dropRelay(err)
+			case n.relayAddress != "" && n.now().Sub(n.relayUsedSince) > minSettle:
+				n.relayAddress, n.nextLookAt = "", n.now() // another daemon may have taken its place
 			}
 		}
-		pause.For(ctx, snapshotRetry)
+		pause.For(ctx, snapshotRetryInterval)
 	}
 	return objectapi.Listing{}, errNoSnapshot
 }
 
-// closeGap returns what changed after a revision from which on a relay does not know all changes,
-// by a snapshot. Otherwise every daemon of the zone would list from the store after the relay was
-// replaced by one that knows less. objectapi.ErrCompacted: this daemon must list.
+// closeGap returns the changes after a revision that a relay no longer knows completely, by
+// means of a snapshot. Otherwise every daemon of the zone would list from the store after the
+// relay was replaced by one that knows less. objectapi.ErrCompacted: this daemon must list.
 func (n *Node) closeGap(ctx context.Context, relay string, after uint64) (objectapi.Changes, error) {
-	if !n.distributed.Load() {
+	if !n.distributeSnapshots.Load() {
 		return objectapi.Changes{}, objectapi.ErrCompacted
 	}
 	l, err := n.askSnapshot(ctx, relay)
 	if err != nil || l.Revision <= after {
 		return objectapi.Changes{}, objectapi.ErrCompacted
 	}
-	missed, known := n.history.difference(l)
+	missed, known := n.history.diff(l)
 	if !known {
 		return objectapi.Changes{}, objectapi.ErrCompacted
 	}
-	out, gap, err := n.askNews(ctx, relay, l.Revision, 0)
+	changes, gap, err := n.pollRelay(ctx, relay, l.Revision, 0)
 	if err != nil || gap {
 		return objectapi.Changes{}, objectapi.ErrCompacted
 	}
-	n.history.skipped(after, l.Revision)
-	out.Events = append(missed, out.Events...)
-	out.Revision = max(out.Revision, l.Revision)
-	return out, nil
+	n.history.noteSkipped(after, l.Revision)
+	changes.Events = append(missed, changes.Events...)
+	changes.Revision = max(changes.Revision, l.Revision)
+	return changes, nil
 }
 
-// answered tells whether an error is another daemon's answer.
-func answered(err error) bool { return errors.Is(err, errOutOfTouch) }
+// isRelayAnswer reports whether an error is another daemon's answer.
+func isRelayAnswer(err error) bool { return errors.Is(err, errOutOfTouch) }
 
-// askSnapshot asks the relay at an address for all entries, and whom it names. errOutOfTouch: it
-// answers, but does not know them yet.
+// askSnapshot asks a relay for all entries, and the daemon that it names. errOutOfTouch: the
+// relay answers, but does not know them yet.
 func (n *Node) askSnapshot(ctx context.Context, relay string) (objectapi.Listing, error) {
-	r := SnapshotRequest{Address: n.o.Address, LinkMbps: n.o.LinkMbps}
+	r := SnapshotRequest{Address: n.opts.Address, LinkMbps: n.opts.LinkMbps}
 	reply, err := n.callSnapshot(ctx, relay, r)
 	if err == nil && reply.Ask != "" {
 		reply, err = n.callSnapshot(ctx, reply.Ask, r)
@@ -273,7 +278,7 @@
 	if err != nil {
 		return objectapi.Listing{}, err
 	}
-	n.copies.keep(reply, n.now())
+	n.copies.adopt(reply, n.now())
 	began := n.now()
 	events, err := unpack(reply.Entries, 0)
 	if err != nil {
@@ -291,11 +296,11 @@
 func (n *Node) callSnapshot(ctx context.Context, address string, r SnapshotRequest) (SnapshotReply, error) {
 	timed, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	reply, err := n.o.Peers.Snapshot(timed, address, r)
+	reply, err := n.opts.Peers.Snapshot(timed, address, r)
 	switch jrpc2.ErrorCode(err) {
 	case codeNotRelaying:
 		err = errors.WithType(err, errOutOfTouch)
-	case jrpc2.MethodNotFound: // an earlier version, while daemons are replaced
+	case jrpc2.MethodNotFound: // an earlier version, during an upgrade
 		err = errors.WithType(err, errNoSnapshot)
 	}
 	return reply, errors.Trace(err)
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -20,26 +20,26 @@
 	recordKey   = "relays/zone"
 )
 
-// zone is a store and the daemons of one zone, played step by step on one
-// goroutine with a clock of its own.
+// zone simulates a store and the daemons of one zone step by step, on one goroutine and its own
+// clock.
 type zone struct {
-	now      time.Time
-	revision uint64
-	entries  []objectapi.Event // all changes, by revision
-	config   []configChange
-	record   objectapi.Object
-	floor    uint64 // changes up to it are forgotten
-	down     bool
-	unlucky  bool            // whatever is drawn by chance takes longest
-	behind   uint64          // revisions that an old read lags
-	follows  map[*daemon]int // calls of Follow that reached the store
-	lists    int             // listings of full price
-	stales   int             // old listings
-	writes   int
-	daemons  []*daemon
-	waited   time.Duration // of the last call of Follow
-	// answers, if set, stands for every relay's answer for news.
-	answers func() NewsReply
+	now           time.Time
+	revision      uint64
+	entries       []objectapi.Event // all changes, by revision
+	config        []configChange
+	record        objectapi.Object
+	floor         uint64 // changes up to it are compacted
+	down          bool
+	longestDelays bool            // random delays take their maximum
+	staleLag      uint64          // revisions that a stale read lags
+	follows       map[*daemon]int // calls of Follow that reached the store
+	lists         int             // listings at full cost
+	staleLists    int             // stale listings
+	writes        int
+	daemons       []*daemon
+	lastWait      time.Duration // wait of the last call of Follow
+	// pollAnswer, if set, replaces every relay's answer to a poll.
+	pollAnswer func() PollReply
 }
 
 type configChange struct {
@@ -47,30 +47,30 @@
 	at      time.Time
 }
 
-// daemon is a Node with what a follower keeps beside it.
+// daemon is a Node with the state that a follower keeps beside it.
 type daemon struct {
 	*Node
-	zone    *zone
-	name    string
-	dead    bool
-	cut     bool // from the store
-	state   map[string]uint64
-	at      uint64    // revision
-	proved  time.Time // of state
-	listed  bool
-	begun   bool // it listed once in this life
-	planner bool
-	// What stands still for it.
-	standing []string
-	// What its requests share.
-	spare    map[string]float64
-	inFlight map[string]int
-	others   map[string]int
-	stopped  []fleet.Key
-	alive    []fleet.Key
-	left     map[fleet.Key]bool // told to stand still
-	told     int                // daemons that told
-	// The configuration as other daemons confirmed it.
+	zone       *zone
+	name       string
+	dead       bool
+	cutOff     bool // from the store
+	state      map[string]uint64
+	at         uint64    // revision
+	provedAt   time.Time // of state
+	listed     bool
+	listedOnce bool // it listed since its last restart
+	planner    bool
+	// Instances that are stalled for it.
+	stalledInstances []string
+	// What its requests share with the zone.
+	spare         map[string]float64
+	inFlight      map[string]int
+	others        map[string]int
+	stalledGroups []fleet.Key
+	activeGroups  []fleet.Key
+	stalledForAll map[fleet.Key]bool // groups reported as stalled
+	reporters     int                // daemons that reported loads
+	// The configuration as confirmed by other daemons.
 	version uint64
 	config  time.Time
 }
@@ -95,10 +95,10 @@
 
 func (z *zone) node(d *daemon) *Node {
 	d.state = map[string]uint64{}
-	return NewNode(Options{Store: &storeOf{z: z, d: d}, Kind: entriesKind, Key: recordKey, Holder: fmt.Sprint(d.name, " ", z.revision, z.now),
+	return NewNode(Options{Store: &daemonStore{z: z, d: d}, Kind: entriesKind, Key: recordKey, Holder: fmt.Sprint(d.name, " ", z.revision, z.now),
 		Address: d.name, Peers: z, Stale: func() time.Duration { return stale }, Direct: func() bool { return d.planner },
 		Confirm:  func(version uint64, proved time.Time) { d.version, d.config = version, proved },
-		Standing: func(time.Time) []string { return d.standing },
+		Standing: func(time.Time) []string { return d.stalledInstances },
 		Gate:     z.gate(),
 		Traffic: Traffic{
 			Spare: func(time.Time) map[string]float64 {
@@ -107,14 +107,14 @@
 				return spare
 			},
 			InFlight: func() map[string]int { return d.inFlight },
-			Progress: func(time.Time) (stopped, alive []fleet.Key) { return d.stopped, d.alive },
+			Progress: func(time.Time) (stopped, alive []fleet.Key) { return d.stalledGroups, d.activeGroups },
 			Loaded: func(others dispatch.Others, _ time.Time) {
-				d.others, d.left, d.told = others.InFlight, others.Standing, others.Daemons
+				d.others, d.stalledForAll, d.reporters = others.InFlight, others.Standing, others.Daemons
 			},
 			Rule: func() dispatch.PoolRule { return dispatch.PoolRule{} },
 		},
 		Uniform: func(least, most time.Duration) time.Duration {
-			if z.unlucky {
+			if z.longestDelays {
 				return most
 			}
 			return least
@@ -128,14 +128,14 @@
 	return backpressure.NewGate(func() int { return len(z.daemons) }, least, zap.NewNop())
 }
 
-// restart starts a daemon's process anew.
+// restart replaces a daemon's process by a new one.
 func (d *daemon) restart() {
-	d.dead, d.listed, d.begun, d.at, d.proved, d.config = false, false, false, 0, time.Time{}, time.Time{}
+	d.dead, d.listed, d.listedOnce, d.at, d.provedAt, d.config = false, false, false, 0, time.Time{}, time.Time{}
 	d.Node = d.zone.node(d)
 }
 
-// pass lets time pass.
-func (z *zone) pass(d time.Duration) { z.now = z.now.Add(d) }
+// advance moves the clock.
+func (z *zone) advance(d time.Duration) { z.now = z.now.Add(d) }
 
 // change changes an entry.
 func (z *zone) change(key string, removed bool) {
@@ -149,7 +149,7 @@
 	z.config = append(z.config, configChange{z.revision, z.now})
 }
 
-// configAt is the version of the configuration at a time.
+// configAt returns the version of the configuration at a time.
 func (z *zone) configAt(at time.Time) uint64 {
 	version := uint64(0)
 	for _, c := range z.config {
@@ -160,20 +160,20 @@
 	return version
 }
 
-// step makes one call of a daemon's follower, or a list where one is needed, and
-// one read of the configuration for peers.
+// step makes one call of a daemon's follower, or a listing where one is needed, and one read of
+// the configuration for peers.
 func (d *daemon) step() error {
 	if d.dead {
 		return nil
 	}
 	ctx := context.Background()
 	asked := d.zone.now
-	if d.relaying() && !d.zone.down && !d.cut {
+	if d.relaying() && !d.zone.down && !d.cutOff {
 		d.NoteConfig(d.zone.configAt(asked), asked)
 	}
 	if !d.listed {
 		list := d.ListKind
-		if !d.begun {
+		if !d.listedOnce {
 			list = d.ListStale
 		}
 		l, err := list(ctx, entriesKind)
@@ -185,10 +185,10 @@
 			d.state[o.Key] = o.Version
 		}
 		d.at, d.listed = l.Revision, true
-		if d.begun {
-			d.proved = asked
+		if d.listedOnce {
+			d.provedAt = asked
 		}
-		d.begun = true
+		d.listedOnce = true
 		return nil
 	}
 	c, err := d.Follow(ctx, entriesKind, d.at, time.Second)
@@ -200,29 +200,29 @@
 		return err
 	}
 	for _, e := range c.Events {
-		applyTo(d.state, e)
+		applyEvent(d.state, e)
 	}
 	if len(c.Events) > 0 {
 		d.at = max(d.at, c.Revision)
 	}
-	if at := asked.Add(-c.Age); at.After(d.proved) {
-		d.proved = at
+	if at := asked.Add(-c.Age); at.After(d.provedAt) {
+		d.provedAt = at
 	}
 	return nil
 }
 
-// News implements Transport between the zone's daemons.
-func (z *zone) News(ctx context.Context, address string, r NewsRequest) (NewsReply, error) {
-	if z.answers != nil {
-		return z.answers(), nil
+// Poll implements Transport between the zone's daemons.
+func (z *zone) Poll(ctx context.Context, address string, r PollRequest) (PollReply, error) {
+	if z.pollAnswer != nil {
+		return z.pollAnswer(), nil
 	}
 	for _, d := range z.daemons {
 		if d.name == address && !d.dead {
 			r.WaitMS = 0
-			return d.news(ctx, r)
+			return d.answerPoll(ctx, r)
 		}
 	}
-	return NewsReply{}, errors.New("refused")
+	return PollReply{}, errors.New("refused")
 }
 
 // Share implements Transport between the zone's daemons.
@@ -235,14 +235,14 @@
 	return ShareReply{}, errors.New("refused")
 }
 
-// Repeat implements Transport between the zone's daemons.
-func (z *zone) Repeat(ctx context.Context, address string, r RepeatRequest) (RepeatReply, error) {
+// TakeRetry implements Transport between the zone's daemons.
+func (z *zone) TakeRetry(ctx context.Context, address string, r RetryRequest) (RetryReply, error) {
 	for _, d := range z.daemons {
 		if d.name == address && !d.dead {
-			return d.answerRepeat(ctx, r)
+			return d.answerRetry(ctx, r)
 		}
 	}
-	return RepeatReply{}, errors.New("refused")
+	return RetryReply{}, errors.New("refused")
 }
 
 // Snapshot implements Transport between the zone's daemons.
@@ -255,8 +255,8 @@
 	return SnapshotReply{}, errors.New("refused")
 }
 
-// Loads implements Transport between the zone's daemons.
-func (z *zone) Loads(ctx context.Context, address string) (LoadsReply, error) {
+// ZoneLoads implements Transport between the zone's daemons.
+func (z *zone) ZoneLoads(ctx context.Context, address string) (LoadsReply, error) {
 	for _, d := range z.daemons {
 		if d.name == address && !d.dead {
 			return d.answerLoads(ctx)
@@ -265,18 +265,18 @@
 	return LoadsReply{}, errors.New("refused")
 }
 
-// Words implements Transport between the zone's daemons.
-func (z *zone) Words(ctx context.Context, address string, r WordsRequest) (WordsReply, error) {
+// SyncQuarantine implements Transport between the zone's daemons.
+func (z *zone) SyncQuarantine(ctx context.Context, address string, r QuarantineRequest) (QuarantineReply, error) {
 	for _, d := range z.daemons {
 		if d.name == address && !d.dead {
-			return d.answerWords(ctx, r)
+			return d.answerQuarantine(ctx, r)
 		}
 	}
-	return WordsReply{}, errors.New("refused")
+	return QuarantineReply{}, errors.New("refused")
 }
 
-// Limits implements Transport between the zone's daemons.
-func (z *zone) Limits(ctx context.Context, address string, r LimitsRequest) (LimitsReply, error) {
+// SyncLimits implements Transport between the zone's daemons.
+func (z *zone) SyncLimits(ctx context.Context, address string, r LimitsRequest) (LimitsReply, error) {
 	for _, d := range z.daemons {
 		if d.name == address && !d.dead {
 			return d.answerLimits(ctx, r)
@@ -285,15 +285,15 @@
 	return LimitsReply{}, errors.New("refused")
 }
 
-// storeOf is the store as one daemon reaches it.
-type storeOf struct {
+// daemonStore is the store as one daemon reaches it.
+type daemonStore struct {
 	z *zone
 	d *daemon
 }
 
-func (s *storeOf) reached() bool { return !s.z.down && !s.d.cut }
+func (s *daemonStore) reached() bool { return !s.z.down && !s.d.cutOff }
 
-func (s *storeOf) Get(_ context.Context, _ string) (objectapi.Object, error) {
+func (s *daemonStore) Get(_ context.Context, _ string) (objectapi.Object, error) {
 	switch {
 	case !s.reached():
 		return objectapi.Object{}, errDown
@@ -303,8 +303,8 @@
 	return s.z.record, nil
 }
 
-// records lists the zones' records: there is one at most.
-func (s *storeOf) records(ctx context.Context) (objectapi.Listing, error) {
+// records lists the zones' records: there is at most one.
+func (s *daemonStore) records(ctx context.Context) (objectapi.Listing, error) {
 	o, err := s.Get(ctx, "")
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return objectapi.Listing{Revision: s.z.revision}, nil
@@ -312,11 +312,11 @@
 	return objectapi.Listing{Objects: []objectapi.Object{o}, Revision: s.z.revision}, err
 }
 
-func (s *storeOf) GetStale(ctx context.Context, key string) (objectapi.Object, error) {
+func (s *daemonStore) GetStale(ctx context.Context, key string) (objectapi.Object, error) {
 	return s.Get(ctx, key)
 }
 
-func (s *storeOf) ListKind(ctx context.Context, kind string) (objectapi.Listing, error) {
+func (s *daemonStore) ListKind(ctx context.Context, kind string) (objectapi.Listing, error) {
 	if !s.reached() {
 		return objectapi.Listing{}, errDown
 	}
@@ -327,13 +327,14 @@
 	return s.z.listing(s.z.revision), nil
 }
 
-// ListStale answers from behind, with the revision of the latest change that it shows.
-func (s *storeOf) ListStale(_ context.Context, _ string) (objectapi.Listing, error) {
+// ListStale answers with a lag of staleLag, and the revision of the latest change that it
+// shows.
+func (s *daemonStore) ListStale(_ context.Context, _ string) (objectapi.Listing, error) {
 	if !s.reached() {
 		return objectapi.Listing{}, errDown
 	}
-	s.z.stales++
-	l := s.z.listing(s.z.revision - min(s.z.behind, s.z.revision))
+	s.z.staleLists++
+	l := s.z.listing(s.z.revision - min(s.z.staleLag, s.z.revision))
 	l.Revision = 0
 	for _, o := range l.Objects {
 		l.Revision = max(l.Revision, o.Version)
@@ -349,22 +350,22 @@
 	return l
 }
 
-// state is what the store holds now.
+// state returns what the store holds now.
 func (z *zone) state() map[string]uint64 { return z.stateAt(z.revision) }
 
-// stateAt is what the store held at a revision.
+// stateAt returns what the store held at a revision.
 func (z *zone) stateAt(revision uint64) map[string]uint64 {
 	state := map[string]uint64{}
 	for _, e := range z.entries {
 		if e.Object.Version <= revision {
-			applyTo(state, e)
+			applyEvent(state, e)
 		}
 	}
 	return state
 }
 
-func (s *storeOf) Follow(_ context.Context, _ string, after uint64, wait time.Duration) (objectapi.Changes, error) {
-	s.z.waited = wait
+func (s *daemonStore) Follow(_ context.Context, _ string, after uint64, wait time.Duration) (objectapi.Changes, error) {
+	s.z.lastWait = wait
 	if !s.reached() {
 		return objectapi.Changes{}, errDown
 	}
@@ -381,15 +382,15 @@
 	return c, nil
 }
 
-func (s *storeOf) Create(_ context.Context, _ string, value []byte) (uint64, error) {
+func (s *daemonStore) Create(_ context.Context, _ string, value []byte) (uint64, error) {
 	return s.write(0, value)
 }
 
-func (s *storeOf) Update(_ context.Context, _ string, version uint64, value []byte) (uint64, error) {
+func (s *daemonStore) Update(_ context.Context, _ string, version uint64, value []byte) (uint64, error) {
 	return s.write(version, value)
 }
 
-func (s *storeOf) write(version uint64, value []byte) (uint64, error) {
+func (s *daemonStore) write(version uint64, value []byte) (uint64, error) {
 	if !s.reached() {
 		return 0, errDown
 	}
