--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,6 @@
-// Package link opens TCP connections that notice a link gone silent: open connections
-// may carry nothing any more, without a reset, while new ones work. Only the kernel's
-// own timers show it where nobody else bounds the wait.
+// Package link opens TCP connections that detect a silent link: an open connection can stop
+// carrying data without a reset while new ones work. Only the kernel's own timers detect this
+// where no caller bounds the wait.
 package link
 
 import (
@@ -12,37 +12,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times after which a silent link ends a connection.
+// Timeouts after which a silent link closes a connection.
 const (
-	// UnackedFor is how long sent bytes may go unacknowledged. Links within a region
-	// take milliseconds, a lost packet some hundred; a caller's first event is late by
-	// then, but its request can go on elsewhere.
-	UnackedFor = 1500 * time.Millisecond
-	// A connection that carries nothing is probed after idleFor, each probeEvery, and
-	// ended after probes without an answer: two seconds in all.
-	idleFor    = time.Second
-	probeEvery = 500 * time.Millisecond
-	probes     = 2
+	// unackedTimeout is how long sent bytes may stay unacknowledged. Links within a region take
+	// milliseconds, a lost packet some hundred. A caller's first event is late by then, but its
+	// request can continue on another connection.
+	unackedTimeout = 1500 * time.Millisecond
+	// An idle connection is probed after keepAliveIdle, then every keepAliveInterval, and closed
+	// after keepAliveProbes without an answer: two seconds in all.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 2
 )
 
-// Dialer returns a dialer of such connections; timeout bounds how long one may take to
-// come up, 0: no bound but the context's.
+// Dialer returns a dialer of such connections; timeout bounds the connection setup, 0: only the
+// context bounds it.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: idleFor, Interval: probeEvery, Count: probes},
-		ControlContext:  limitUnacked,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
+		ControlContext:  setUnackedTimeout,
 	}
 }
 
-// limitUnacked bounds how long sent bytes may go unacknowledged.
-func limitUnacked(_ context.Context, _, _ string, c syscall.RawConn) error {
-	var set error
+// setUnackedTimeout applies unackedTimeout to a socket.
+func setUnackedTimeout(_ context.Context, _, _ string, c syscall.RawConn) error {
+	var setErr error
 	err := c.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedFor.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A link that goes silent can't be had on loopback; what the kernel was told can be read.
-func TestConnectionsNoticeSilentLinks(t *testing.T) {
+// Loopback cannot simulate a silent link, so the test reads the socket options instead.
+func TestConnectionsDetectSilentLinks(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
