--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -21,11 +21,11 @@
 	return LoadsReply{n.share.loads.zoneTotal(now), n.share.loads.stalledGroups(now), zoneDaemons}, nil
 }
 
-// shareRequest returns this daemon's report of its own requests.
+// shareRequest returns this daemon's report of its own requests, without spare retry credit.
 func (n *Node) shareRequest(now time.Time) ShareRequest {
 	stalled, active := n.opts.Traffic.Progress(now)
 	if len(stalled) > maxReported {
-		stalled = nil // this daemon is probably cut off itself
+		stalled = nil // with so many, this daemon is probably cut off itself
 	}
 	return ShareRequest{From: n.opts.Holder, Loads: n.opts.Traffic.InFlight(), StalledGroups: toRefs(stalled), ActiveGroups: toRefs(active), StalledInstances: n.opts.Standing(now)}
 }
@@ -47,7 +47,7 @@
 // mergeShare records a peer's report. It returns the answer without loads, and the loads
 // separately.
 func (n *Node) mergeShare(r ShareRequest) (ShareReply, totalLoad, error) {
-	if !n.relaying() {
+	if !n.isActiveRelay() {
 		return ShareReply{}, totalLoad{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
 	}
 	now, rule := n.now(), n.opts.Traffic.Rule()
@@ -93,9 +93,9 @@
 	}
 }
 
-// minReportInterval is the minimum time between two reports of stalled streams. Reported at once
-// instead of with the next exchange, a stalled group is known to the relay earlier by half of
-// shareInterval on average.
+// minReportInterval is the minimum time between two exchanges that a stalled stream or a changed
+// limit starts. Reported at once instead of with the next periodic exchange, a stalled group is
+// known to the relay earlier by half of shareInterval on average.
 const minReportInterval = 50 * time.Millisecond
 
 // runOnce makes one exchange.
@@ -115,7 +115,7 @@
 		x.collectZoneLoads(timed)
 		return
 	}
-	if relay, _ := n.share.current(now); relay != "" {
+	if relay, _ := n.share.relayInUse(now); relay != "" {
 		x.shareWithRelay(timed, relay, now)
 	}
 }
@@ -150,7 +150,7 @@
 	x.listedAt = now // an error is counted with the store's calls; the old list stays
 }
 
-// collectZoneLoads asks all other relays in parallel.
+// collectZoneLoads asks all other relays in parallel for the loads of their zones.
 func (x *Exchange) collectZoneLoads(ctx context.Context) {
 	n := x.Node
 	addresses := n.otherRelays()
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -34,7 +34,7 @@
 // each peer would list the store again. Safe for concurrent use; time is passed in.
 type history struct {
 	mu           sync.Mutex
-	known        bool
+	known        bool // false: nothing is known yet
 	complete     bool // latest holds every live object, not only those that changed
 	latest       map[string]objectapi.Event
 	removals     int           // number of removals in latest
@@ -43,7 +43,7 @@
 	unknownSpans []unknownSpan // between base and end; objects created and removed within are unknown
 	provedAt     time.Time
 	config       configProof
-	packedAfter  map[uint64][]byte // answers for the current state, by the revision asked for
+	packedAfter  map[uint64][]byte // packed answers for the current state, by the revision asked for
 	changed      chan struct{}     // closed at the next change
 }
 
@@ -60,7 +60,8 @@
 	}
 }
 
-// seed starts from a listing that may be stale; it proves nothing.
+// seed starts over from a listing that may be stale, unless as much is known already. Such a
+// listing proves nothing.
 func (h *history) seed(l objectapi.Listing) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,8 +72,8 @@
 	h.invalidate()
 }
 
-// applyListing merges a listing that is current. Earlier changes are kept if all objects were
-// known: those missing from the listing were removed since.
+// applyListing merges a current listing. Earlier changes are kept if all objects were known: the
+// objects missing from the listing were removed since.
 func (h *history) applyListing(l objectapi.Listing, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,8 +177,8 @@
 	h.latest[e.Object.Key] = e
 }
 
-// pruneRemovals drops the older half of the removals when they exceed maxRemovals; h.mu is
-// held.
+// pruneRemovals drops the older half of the removals when there are more than maxRemovals; h.mu
+// is held.
 func (h *history) pruneRemovals() {
 	if h.removals <= maxRemovals {
 		return
@@ -232,7 +233,8 @@
 }
 
 // changesAfter returns the latest change of each object that changed after a revision, in order
-// of revision, and the revision that they lead to. gap: removals since then are not known.
+// of revision, and the revision that the changes lead to. gap: not all changes after the
+// revision are known.
 func (h *history) changesAfter(revision uint64) (events []objectapi.Event, end uint64, gap bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -298,8 +300,8 @@
 
 // packedChanges is an answer to a peer.
 type packedChanges struct {
-	changes []byte // packed; nil: none
-	end     uint64 // revision that they lead to
+	changes []byte // nil: none
+	end     uint64 // revision that the changes lead to
 	gap     bool
 }
 
--- a/internal/relay/history_test.go
+++ b/internal/relay/history_test.go
@@ -42,7 +42,7 @@
 	must.Eq(t, 9, end)
 	must.SliceEmpty(t, events)
 	_, _, gap = h.changesAfter(4)
-	must.True(t, gap, must.Sprint("what came before the listing is not known"))
+	must.True(t, gap, must.Sprint("changes before the listing are not known"))
 }
 
 // A peer that is ahead, because it asked the store itself, is sent nothing old.
@@ -68,7 +68,7 @@
 	must.Eq(t, []objectapi.Event{event("a", 5000)}, events)
 }
 
-// Only removals grow; the oldest are forgotten, and a peer that is missing them must list.
+// Only removals accumulate: the oldest are dropped, and a peer that is missing them must list.
 func TestHistoryPrunesOldestRemovals(t *testing.T) {
 	h := newHistory()
 	h.applyListing(listing(0), start)
@@ -110,13 +110,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory()
 		type change struct {
-			e objectapi.Event
+			event objectapi.Event
 		}
 		var log []change // revision i+1 is log[i]
 		stateAt := func(revision uint64) map[string]uint64 {
 			out := map[string]uint64{}
 			for _, c := range log[:revision] {
-				applyEvent(out, c.e)
+				applyEvent(out, c.event)
 			}
 			return out
 		}
@@ -133,7 +133,7 @@
 			case 1, 2, 3:
 				var events []objectapi.Event
 				for _, c := range log[followed:] {
-					events = append(events, c.e)
+					events = append(events, c.event)
 				}
 				h.applyChanges(followed, objectapi.Changes{Events: events, Revision: uint64(len(log))}, start)
 				if len(events) > 0 {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -44,9 +44,9 @@
 	return out, nil
 }
 
-// grantsPermits reports whether this daemon grants permits: it is the relay in its zone's
-// record as far as it knows, and no later listing names another one. A relay that was cut off
-// would otherwise keep granting long after it was replaced.
+// grantsPermits reports whether this daemon grants permits: it is its zone's relay as far as it
+// knows, and no later listing names another daemon. A relay that was cut off would otherwise keep
+// granting permits long after it was replaced.
 func (n *Node) grantsPermits() bool {
 	relay := n.zoneRelay()
 	return n.Holding() && (relay == "" || relay == n.opts.Address)
@@ -91,7 +91,7 @@
 		}
 		return
 	}
-	relay, _ := n.share.lastAnswered()
+	relay, _ := n.share.lastUsed()
 	if relay == "" || gate.Quiet() {
 		return
 	}
@@ -109,7 +109,7 @@
 	for _, address := range n.otherRelays() {
 		wait.Go(func() {
 			r, err := n.opts.Peers.SyncLimits(ctx, address, LimitsRequest{From: n.opts.Holder, Updates: updates})
-			if err == nil { // a relay that does not answer gets the updates again
+			if err == nil { // a relay that does not answer gets the updates with the next exchange
 				n.opts.Gate.Merge(r.Updates, backpressure.ReceivedAt{Earliest: asked, Latest: n.now()})
 			}
 		})
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -24,16 +24,16 @@
 // totalLoad is the requests in flight of all daemons, by instance. It is computed once for all
 // callers within totalValidFor and is immutable.
 type totalLoad struct {
-	at      time.Time
-	loads   map[string]int
-	encoded json.RawMessage // loads, encoded for the wire
+	computedAt time.Time
+	loads      map[string]int
+	encoded    json.RawMessage // loads, encoded for the wire
 }
 
 // daemonReport is the last report of one daemon.
 type daemonReport struct {
 	inFlight        map[string]int
 	stalled, active []groupRef
-	at              time.Time
+	receivedAt      time.Time
 }
 
 // note records a daemon's report.
@@ -58,8 +58,8 @@
 func (l *loads) countDaemons(now time.Time) (zone, all int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, one := range l.byDaemon {
-		if now.Sub(one.at) <= loadValidFor {
+	for _, last := range l.byDaemon {
+		if now.Sub(last.receivedAt) <= loadValidFor {
 			zone++
 		}
 	}
@@ -68,12 +68,12 @@
 
 // minStallReporters is how many daemons must report that a group's streams stopped, while none
 // reports that they deliver events. A report by one daemon alone was a busy replica more often
-// than a dead one; announced to all, it would drive everybody away from replicas that only read
+// than a dead one; announced to all, it would drive all daemons away from replicas that only read
 // a long prompt.
 const minStallReporters = 2
 
-// stalledGroups returns the groups that are stalled according to this zone's daemons. Reports
-// expire as those of loads do.
+// stalledGroups returns the groups that are stalled according to this zone's daemons, by reports
+// no older than loadValidFor.
 func (l *loads) stalledGroups(now time.Time) []groupRef {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,11 +83,11 @@
 // stalledGroupsLocked is stalledGroups; l.mu is held.
 func (l *loads) stalledGroupsLocked(now time.Time) []groupRef {
 	reporters := map[groupRef]int{}
-	for _, one := range l.byDaemon {
-		if now.Sub(one.at) > loadValidFor {
+	for _, last := range l.byDaemon {
+		if now.Sub(last.receivedAt) > loadValidFor {
 			continue
 		}
-		for _, g := range one.stalled {
+		for _, g := range last.stalled {
 			reporters[g]++
 		}
 	}
@@ -95,11 +95,11 @@
 	if len(reporters) == 0 {
 		return nil
 	}
-	for _, one := range l.byDaemon {
-		if now.Sub(one.at) > loadValidFor {
+	for _, last := range l.byDaemon {
+		if now.Sub(last.receivedAt) > loadValidFor {
 			continue
 		}
-		for _, g := range one.active {
+		for _, g := range last.active {
 			delete(reporters, g)
 		}
 	}
@@ -108,7 +108,7 @@
 	})
 }
 
-// allStalledGroups adds the stalled groups of other zones.
+// allStalledGroups returns the groups that are stalled according to the daemons of any zone.
 func (l *loads) allStalledGroups(now time.Time) []groupRef {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,11 +117,11 @@
 
 // zoneTotalLocked sums the reports of this zone's daemons except one; l.mu is held.
 func (l *loads) zoneTotalLocked(except string, now time.Time) map[string]int {
-	maps.DeleteFunc(l.byDaemon, func(_ string, one daemonReport) bool { return now.Sub(one.at) > loadValidFor })
+	maps.DeleteFunc(l.byDaemon, func(_ string, last daemonReport) bool { return now.Sub(last.receivedAt) > loadValidFor })
 	sum := map[string]int{}
-	for from, one := range l.byDaemon {
+	for from, last := range l.byDaemon {
 		if from != except {
-			addTo(sum, one.inFlight)
+			addTo(sum, last.inFlight)
 		}
 	}
 	return sum
@@ -138,14 +138,14 @@
 func (l *loads) total(now time.Time) (totalLoad, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cached.loads != nil && now.Sub(l.cached.at) <= totalValidFor {
+	if l.cached.loads != nil && now.Sub(l.cached.computedAt) <= totalValidFor {
 		return l.cached, nil
 	}
 	sum := l.zoneTotalLocked("", now)
 	addTo(sum, l.remote)
 	encoded, err := json.Marshal(sum)
 	if err != nil {
-		return totalLoad{}, errors.Annotate(err, "encoding loads")
+		return totalLoad{}, errors.Annotate(err, "loads")
 	}
 	l.cached = totalLoad{now, sum, encoded}
 	return l.cached, nil
@@ -160,13 +160,15 @@
 	return sum
 }
 
+// addTo adds the requests in flight in more to sum, by instance.
 func addTo(sum, more map[string]int) {
 	for instance, n := range more {
 		sum[instance] += n
 	}
 }
 
-// subtract returns a sum less one daemon's own part.
+// subtract returns a sum without one daemon's own requests; instances without others are left
+// out.
 func subtract(sum, own map[string]int) map[string]int {
 	out := make(map[string]int, len(sum))
 	for instance, n := range sum {
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -38,7 +38,7 @@
 		return nil, errors.Trace(err)
 	}
 	if err := json.NewEncoder(w).Encode(changes); err != nil {
-		return nil, errors.Annotate(err, "encoding changes")
+		return nil, errors.Annotate(err, "changes")
 	}
 	if err := w.Close(); err != nil {
 		return nil, errors.Trace(err)
@@ -46,22 +46,22 @@
 	return out.Bytes(), nil
 }
 
-// unpack returns the changes after a revision. A relay that received them in other batches may
-// send older ones too, which are dropped.
+// unpack returns the changes after a revision. A relay that received the changes in other batches
+// may send older ones too, which are dropped.
 func unpack(packed []byte, after uint64) ([]objectapi.Event, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes+1))
 	if err != nil {
-		return nil, errors.Annotate(err, "decompressing changes")
+		return nil, errors.Annotate(err, "changes")
 	}
 	if len(text) > maxUnpackedBytes {
 		return nil, errAnswerTooLarge
 	}
 	var changes []wireEvent
 	if err := json.Unmarshal(text, &changes); err != nil {
-		return nil, errors.Annotate(err, "decoding changes")
+		return nil, errors.Annotate(err, "changes")
 	}
 	out := make([]objectapi.Event, 0, len(changes))
 	for _, c := range changes {
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -17,21 +17,21 @@
 // of two versions run side by side during an upgrade.
 const methodPoll = "relay.packed_news"
 
-// codeNotRelaying is the error of a daemon that is not a relay, or that has not reached the
-// store for too long.
+// codeNotRelaying is the error of a daemon that is not a relay, that has not reached the store
+// for too long, or that is asked for a snapshot before it knows the entries.
 const codeNotRelaying = jrpc2.Code(1)
 
 // codeStopping is the error of a daemon that is shutting down for good.
 const codeStopping = jrpc2.Code(2)
 
-// PollRequest asks for the changes after a revision, and for a read of the configuration later
-// than read number ConfigSeq.
+// PollRequest asks for the entries that changed after a revision, and for a read of the
+// configuration later than read number ConfigSeq.
 type PollRequest struct {
 	After     uint64 `json:"after"`
 	ConfigSeq uint64 `json:"config_seq"`
 	WaitMS    int64  `json:"wait_ms"` // how long to wait for either
-	// From identifies the caller, unique for each process. StalledInstances are those whose
-	// running streams recently stopped making progress for it.
+	// From identifies the caller, unique for each process. StalledInstances are the instances
+	// whose running streams recently stopped making progress for the caller.
 	From             string   `json:"from"`
 	StalledInstances []string `json:"standing,omitempty"`
 	// QuarantineSeq is the last quarantine sequence number that the caller received; nil: the
@@ -79,7 +79,7 @@
 // turns to the store.
 func (n *Node) answerPoll(ctx context.Context, r PollRequest) (PollReply, error) {
 	received := n.now()
-	if received.Sub(n.polledAt.Load()) >= servingWindow {
+	if received.Sub(n.polledAt.Load()) >= recentContact {
 		n.notifyPolled()
 	}
 	n.polledAt.Store(received)
@@ -92,7 +92,7 @@
 		if n.stopping.Load() {
 			return PollReply{}, jrpc2.Errorf(codeStopping, "stopping")
 		}
-		if !n.relaying() || remaining <= 0 {
+		if !n.isActiveRelay() || remaining <= 0 {
 			return PollReply{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
 		}
 		changes, err := n.history.packChangesAfter(r.After)
@@ -117,7 +117,7 @@
 	}
 }
 
-// notifyPolled signals that a peer polls after none did for servingWindow.
+// notifyPolled signals that a peer polls after none did for recentContact.
 func (n *Node) notifyPolled() {
 	select {
 	case n.polled <- struct{}{}:
@@ -125,6 +125,7 @@
 	}
 }
 
+// makePollReply returns the answer to a poll that was received at a time.
 func (n *Node) makePollReply(received, entries time.Time, config configProof, changes packedChanges) PollReply {
 	now := n.now()
 	out := PollReply{HeldMS: now.Sub(received).Milliseconds(), Gap: changes.gap, Changes: changes.changes, Revision: changes.end, EntriesAgeMS: ageMS(now, entries),
--- a/internal/relay/protocol_test.go
+++ b/internal/relay/protocol_test.go
@@ -23,7 +23,7 @@
 	served := make(chan error)
 	go func() { served <- rpc.Serve(ctx, l, relay.Methods()) }()
 	peers := NewPeers()
-	r, err := peers.Poll(ctx, l.Addr().String(), PollRequest{After: relay.at, From: "x", StalledInstances: []string{"head"}})
+	r, err := peers.Poll(ctx, l.Addr().String(), PollRequest{After: relay.revision, From: "x", StalledInstances: []string{"head"}})
 	must.NoError(t, err)
 	must.Eq(t, z.config[0].version, r.ConfigVersion)
 	s, err := peers.Standing(ctx, l.Addr().String())
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -29,7 +29,7 @@
 type QuarantineRequest struct {
 	From    string            `json:"from"` // identifies the caller, unique for each process
 	Updates []quarantine.Word `json:"words,omitempty"`
-	// The caller has all updates of process SeenOf up to number SeenSeq.
+	// The caller has received the updates of process SeenOf up to number SeenSeq.
 	SeenOf      string `json:"of"`
 	SeenSeq     uint64 `json:"seen"`
 	ClusterWide bool   `json:"hot,omitempty"` // the caller does not count crashes; it needs cluster-wide updates only
@@ -37,9 +37,9 @@
 
 // QuarantineReply carries what the daemon knew before the request.
 type QuarantineReply struct {
-	From    string            `json:"from"`
+	From    string            `json:"from"` // identifies the daemon, unique for each process
 	Updates []quarantine.Word `json:"words,omitempty"`
-	Seq     uint64            `json:"seq"`
+	Seq     uint64            `json:"seq"` // number that the updates lead to
 }
 
 // answerQuarantine answers another daemon, whether or not this one reaches the store.
@@ -67,22 +67,22 @@
 	byAddress map[string]syncState
 }
 
-func (p *syncStates) get(address string) syncState {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.byAddress[address]
+func (s *syncStates) get(address string) syncState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byAddress[address]
 }
 
-func (p *syncStates) set(address string, state syncState) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.byAddress == nil {
-		p.byAddress = map[string]syncState{}
+func (s *syncStates) set(address string, state syncState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byAddress == nil {
+		s.byAddress = map[string]syncState{}
 	}
-	p.byAddress[address] = state
+	s.byAddress[address] = state
 }
 
-// maxSyncRounds bounds the messages of one exchange; the rest follows with the next one.
+// maxSyncRounds bounds the messages of one exchange; what remains is sent with the next exchange.
 const maxSyncRounds = 8
 
 // syncQuarantine exchanges updates with one daemon until neither has more.
@@ -117,20 +117,20 @@
 	syncRetryInterval = 250 * time.Millisecond
 	syncIdleInterval  = 2 * time.Second
 	// minListInterval is the minimum time between two listings of the relays while there are
-	// updates to send: their records may have changed since the last listing.
+	// updates to send: the records may have changed since the last listing.
 	minListInterval = time.Second
 )
 
 // Spread exchanges quarantine updates: a relay with the relays of all zones, any other daemon
-// with its own relay. Without new updates it makes no call except one to each relay that it did
-// not know.
+// with its own relay. Without new updates it makes no call, except one to each relay that it
+// never reached.
 type Spread struct {
 	Node *Node
 	List func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
 
 	listedAt  time.Time
-	listedSeq uint64               // this daemon's last update when it listed the relays
-	triedAt   map[string]time.Time // last attempt to reach a relay that never answered, by address
+	listedSeq uint64               // number of this daemon's last update when it listed the relays
+	triedAt   map[string]time.Time // when each relay was last tried, by address
 }
 
 // Run exchanges updates until ctx ends.
@@ -150,7 +150,7 @@
 	}
 }
 
-// nextDelay returns how long to wait for the next check unless a sync is requested.
+// nextDelay returns how long to wait until the next check, unless a sync is requested earlier.
 func (s *Spread) nextDelay() time.Duration {
 	if s.pending() || s.Node.relayLost() {
 		return syncRetryInterval
@@ -158,24 +158,25 @@
 	return syncIdleInterval
 }
 
-// pending reports whether this daemon has updates to send or to request.
+// pending reports whether this daemon has updates to send to a relay or to request from it.
 func (s *Spread) pending() bool {
 	n := s.Node
 	all, _ := n.opts.Quarantine.Seq()
 	if !n.Holding() {
-		relay, due := n.share.lastAnswered()
+		relay, due := n.share.lastUsed()
 		return due || n.syncStates.get(relay).sent < all
 	}
 	return slices.ContainsFunc(n.otherRelays(), func(address string) bool { return s.needsSync(address, all) })
 }
 
-// needsSync reports whether a relay is missing updates or was never contacted. One that does
-// not answer is contacted again with the next update, or after relayListInterval.
+// needsSync reports whether a relay is missing updates of this daemon, of which all is the last,
+// or was never reached. A relay that was never reached is tried again after relayListInterval.
 func (s *Spread) needsSync(address string, all uint64) bool {
 	state := s.Node.syncStates.get(address)
 	return state.sent < all || state.peerID == "" && s.Node.now().Sub(s.triedAt[address]) > relayListInterval
 }
 
+// runOnce makes the exchanges that are due.
 func (s *Spread) runOnce(ctx context.Context) {
 	if s.Node.Holding() {
 		s.syncWithAllZones(ctx)
@@ -187,7 +188,7 @@
 // syncWithRelay exchanges updates with the zone's relay.
 func (s *Spread) syncWithRelay(ctx context.Context) {
 	n := s.Node
-	relay, _ := n.share.lastAnswered()
+	relay, _ := n.share.lastUsed()
 	if !s.pending() {
 		if n.relayLost() {
 			s.trySync(ctx, relay, true) // Follow looks for a new relay if this one does not answer
@@ -212,8 +213,8 @@
 }
 
 // syncWithRemoteZone sends the updates that the zone's own relay does not receive to another
-// zone's relay. The other daemons of this zone do the same, so that their crash counts add up
-// there.
+// zone's relay. The other daemons of this zone do the same, so that the crash counts of all add up
+// at that relay.
 func (s *Spread) syncWithRemoteZone(ctx context.Context, own string, all uint64) {
 	n := s.Node
 	for _, address := range n.otherRelays() {
@@ -223,20 +224,20 @@
 	}
 }
 
-// relayLost reports whether this daemon lost its relay. That relay may still receive quarantine
-// updates, but announces none to this daemon until it is used again.
+// relayLost reports whether this daemon lost its relay. The lost relay may still receive
+// quarantine updates, but announces none to this daemon until it is used again.
 func (n *Node) relayLost() bool { return !n.Holding() && n.share.relayLost() }
 
-// Unheard reports whether this daemon's relay does not answer. The daemon must then save
-// durable quarantine records itself.
+// Unheard reports whether the last quarantine sync of this daemon with its relay failed, or found
+// no relay. The daemon must then save durable quarantine records itself.
 func (n *Node) Unheard() bool { return n.relayUnresponsive.Load() }
 
 // syncWithAllZones exchanges updates with the relays of all zones.
 func (s *Spread) syncWithAllZones(ctx context.Context) {
 	n := s.Node
 	all, clusterWide := n.opts.Quarantine.Seq()
-	// A relay that peers poll lists the records regularly anyway, and learns of releases that
-	// way.
+	// A relay that peers poll lists the records regularly anyway, and learns from these listings
+	// of contents that were released from quarantine.
 	unpolled := clusterWide > 0 && !n.Serving() && n.now().Sub(s.listedAt) > relayListInterval
 	if all > s.listedSeq || unpolled {
 		s.refreshRelays(ctx, all)
@@ -254,15 +255,16 @@
 	wait.Wait()
 }
 
-// trySync exchanges updates with one daemon. It returns false if that one did not answer and
-// must be contacted again.
+// trySync exchanges updates with one daemon. It returns false if that daemon did not answer in
+// time.
 func (s *Spread) trySync(ctx context.Context, address string, clusterWide bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	return s.Node.syncQuarantine(ctx, address, clusterWide) == nil
 }
 
-// refreshRelays lists the relays while updates up to a number wait to be sent.
+// refreshRelays lists the relays, to which updates up to a number are to be sent, unless they were
+// listed within minListInterval.
 func (s *Spread) refreshRelays(ctx context.Context, seq uint64) {
 	now := s.Node.now()
 	if now.Sub(s.listedAt) < minListInterval {
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -29,7 +29,7 @@
 	c := &multiZone{now: start, nodes: map[string]*Node{}, watches: map[string]*quarantine.Watch{}, dead: map[string]bool{}}
 	for _, zone := range []string{"a", "b"} {
 		for _, name := range []string{zone, zone + "1", zone + "2"} {
-			n := c.add(zone, name)
+			n := c.startDaemon(zone, name)
 			if name == zone {
 				n.isRelay.Store(true)
 			} else {
@@ -40,8 +40,8 @@
 	return c
 }
 
-// add starts a daemon.
-func (c *multiZone) add(zone, name string) *Node {
+// startDaemon starts a daemon.
+func (c *multiZone) startDaemon(zone, name string) *Node {
 	w := quarantine.NewWatch(quarantine.NewEvidence(), nil, func() time.Time { return c.now }, zap.NewNop())
 	c.watches[name] = w
 	c.nodes[name] = NewNode(Options{Key: "relays/" + zone, Address: name, Holder: fmt.Sprint(name, c.now), Peers: c, Quarantine: w,
@@ -66,15 +66,15 @@
 	return c.nodes[address].answerQuarantine(ctx, r)
 }
 
-// round lets every daemon receive its relay's sequence number and sync once.
-func (c *multiZone) round() {
+// syncAll lets every daemon receive its relay's sequence number and exchange updates once.
+func (c *multiZone) syncAll() {
 	c.now = c.now.Add(10 * time.Millisecond)
 	for _, name := range []string{"a1", "a2", "b1", "b2", "a", "b"} {
 		n := c.nodes[name]
 		if c.dead[name] {
 			continue
 		}
-		if relay, _ := n.share.lastAnswered(); relay != "" && !c.dead[relay] {
+		if relay, _ := n.share.lastUsed(); relay != "" && !c.dead[relay] {
 			n.noteClusterWideSeq(relay, c.nodes[relay].clusterWideSeq())
 		}
 		s := &Spread{Node: n, List: func(context.Context) (objectapi.Listing, error) { return c.listing(), nil }}
@@ -103,21 +103,21 @@
 
 func TestCrashesOfAllZonesAddUp(t *testing.T) {
 	c := newMultiZone()
-	c.round()
+	c.syncAll()
 	c.calls = 0
-	c.round()
+	c.syncAll()
 	must.Zero(t, c.calls, must.Sprint("no call is made without updates"))
 	c.crash("a1", 1)
-	c.round()
+	c.syncAll()
 	c.crash("b2", 2)
-	c.round()
+	c.syncAll()
 	c.crash("a2", 3)
-	c.round()
-	c.round()
+	c.syncAll()
+	c.syncAll()
 	must.Eq(t, []string{"a", "a1", "a2", "b", "b1", "b2"}, c.refusingDaemons())
-	c.round()
+	c.syncAll()
 	c.calls = 0
-	c.round()
+	c.syncAll()
 	must.Zero(t, c.calls)
 }
 
@@ -127,23 +127,23 @@
 // save must save them itself.
 func TestCrashesAddUpWhenRelayDoesNotAnswer(t *testing.T) {
 	c := newMultiZone()
-	c.round()
+	c.syncAll()
 	c.dead["a"] = true
 	must.False(t, c.nodes["a1"].Unheard())
 	c.crash("a1", 1)
-	c.round()
+	c.syncAll()
 	c.crash("a2", 2)
-	c.round()
+	c.syncAll()
 	c.crash("a1", 3)
-	c.round()
+	c.syncAll()
 	must.True(t, c.nodes["a1"].Unheard())
 	must.Eq(t, []string{"a1", "b", "b1", "b2"}, c.refusingDaemons())
-	c.crash("a2", 4) // it has another crash to send, and receives updates in return
-	c.round()
+	c.crash("a2", 4) // a2 then has another crash to send, and receives updates in return
+	c.syncAll()
 	must.Eq(t, []string{"a1", "a2", "b", "b1", "b2"}, c.refusingDaemons())
 	c.dead["a"] = false
-	c.round()
-	c.round()
+	c.syncAll()
+	c.syncAll()
 	must.SliceContains(t, c.refusingDaemons(), "a")
 	must.False(t, c.nodes["a1"].Unheard())
 }
@@ -151,15 +151,15 @@
 // A relay process that restarts has none of the updates sent to its predecessor.
 func TestRestartedRelayReceivesAllUpdates(t *testing.T) {
 	c := newMultiZone()
-	c.round()
+	c.syncAll()
 	for i, name := range []string{"a1", "a2", "a1"} {
 		c.crash(name, i)
-		c.round()
+		c.syncAll()
 	}
-	c.add("b", "b").isRelay.Store(true)
+	c.startDaemon("b", "b").isRelay.Store(true)
 	must.SliceNotContains(t, c.refusingDaemons(), "b")
 	for range 4 {
-		c.round()
+		c.syncAll()
 	}
 	must.SliceContains(t, c.refusingDaemons(), "b")
 }
@@ -169,15 +169,15 @@
 // up to 1.5 s later.
 func TestDaemonWithoutRelayReceivesQuarantine(t *testing.T) {
 	c := newMultiZone()
-	for range 4 { // it knew its relay before
-		c.round()
+	for range 4 { // a2 knows its relay before
+		c.syncAll()
 	}
 	lost := c.nodes["a2"]
 	lost.share.clearRelay()
 	for i := range 3 {
 		c.crash("a1", i)
-		c.roundWithout("a2")
-		c.roundWithout("a2")
+		c.syncAllExcept("a2")
+		c.syncAllExcept("a2")
 	}
 	must.SliceNotContains(t, c.refusingDaemons(), "a2")
 	s := &Spread{Node: lost, List: func(context.Context) (objectapi.Listing, error) { return c.listing(), nil }}
@@ -188,9 +188,9 @@
 	must.Eq(t, syncIdleInterval, s.nextDelay())
 }
 
-// roundWithout lets all daemons but one sync once.
-func (c *multiZone) roundWithout(except string) {
+// syncAllExcept does the same for all daemons but one.
+func (c *multiZone) syncAllExcept(except string) {
 	c.dead[except] = true
-	c.round()
+	c.syncAll()
 	delete(c.dead, except)
 }
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -35,8 +35,8 @@
 	return out
 }
 
-// addressOf returns the address of the relay that an object names; empty: none. A malformed
-// record is replaced by a daemon of its zone.
+// addressOf returns the address of the relay that a record names; empty: none. A malformed record
+// is replaced by a daemon of its zone.
 func addressOf(o objectapi.Object) string { return readRecord(o).Address }
 
 // readRecord decodes a record; a malformed one names no relay.
@@ -51,17 +51,17 @@
 // knownRelays holds the relays as of the last listing. Safe for concurrent use.
 type knownRelays struct {
 	mu  sync.Mutex
-	all []string
-	own string // of this daemon's zone
+	all []string // addresses of all relays
+	own string   // address of the relay of this daemon's zone
 	// zones are those whose record names a relay, sorted.
 	zones []string
 }
 
 // setOwn sets the relay of this daemon's zone.
-func (a *knownRelays) setOwn(address string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.own = address
+func (k *knownRelays) setOwn(address string) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.own = address
 }
 
 // noteRecords applies a listing of the records.
@@ -82,34 +82,33 @@
 	n.knownRelays.all, n.knownRelays.own, n.knownRelays.zones = Addresses(l), own.Address, zonesWithRelay(l)
 }
 
-// otherRelays returns the relays of the other zones, and that of the own zone if it is another
-// daemon.
+// otherRelays returns the addresses of all relays except this daemon.
 func (n *Node) otherRelays() []string {
 	n.knownRelays.mu.Lock()
 	defer n.knownRelays.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(n.knownRelays.all), func(a string) bool { return a == n.opts.Address })
 }
 
-// zoneRelay returns the relay of this daemon's zone as of the last listing.
+// zoneRelay returns the address of the relay of this daemon's zone, as last known.
 func (n *Node) zoneRelay() string {
 	n.knownRelays.mu.Lock()
 	defer n.knownRelays.mu.Unlock()
 	return n.knownRelays.own
 }
 
-// dropRelay stops using the relay after an error, until it answers again or is replaced.
+// dropRelay stops using the relay after an error, until the relay answers again or is replaced.
 func (n *Node) dropRelay(err error) {
 	n.opts.Log.Info("relay lost", zap.String("decision", "follow_the_store"), zap.String("relay", n.relayAddress), zap.Error(err))
 	n.suspect, n.relayAddress, n.provedAt, n.failedAt = n.relayAddress, "", time.Time{}, n.now()
 	n.loggedOutOfTouch = false
 	n.storeReachedSince = time.Time{}
 	n.share.clearRelay()
-	n.nextLookAt = n.now().Add(n.lookDelay())
+	n.nextSearchAt = n.now().Add(n.searchDelay())
 }
 
-// findRelay finds the zone's relay, or becomes it, when it is time to look.
+// findRelay finds the zone's relay, or becomes the relay, when a search is due.
 func (n *Node) findRelay(ctx context.Context, after uint64) {
-	if n.relayAddress != "" || n.now().Before(n.nextLookAt) && !n.recheckRecord.Load() || n.stopping.Load() {
+	if n.relayAddress != "" || n.now().Before(n.nextSearchAt) && !n.recheckRecord.Load() || n.stopping.Load() {
 		return
 	}
 	if n.suspect != "" {
@@ -120,7 +119,7 @@
 			return
 		case errors.Is(err, errOutOfTouch) && n.keepsAskingSuspect():
 			n.logOutOfTouch()
-			n.nextLookAt = n.now().Add(n.opts.Uniform(minReaskDelay, maxReaskDelay))
+			n.nextSearchAt = n.now().Add(n.opts.Uniform(minReaskDelay, maxReaskDelay))
 			return
 		}
 	}
@@ -138,27 +137,27 @@
 }
 
 // keepsAskingSuspect reports whether to keep asking a relay that does not reach the store.
-// While the store does not answer this daemon either, nobody could take over.
+// While the store does not answer this daemon either, this daemon could not take over.
 func (n *Node) keepsAskingSuspect() bool {
 	if !n.storeReached.Load() {
 		return true
 	}
-	return n.now().Sub(n.failedAt) < n.staleFraction(outageReplacePart) && !n.suspectAloneCutOff()
+	return n.now().Sub(n.failedAt) < n.staleFraction(outageReplaceFraction) && !n.onlySuspectCutOff()
 }
 
-// suspectAloneCutOff reports whether the store has answered this daemon for so long that a
-// relay still out of touch must be cut off alone. Its zone then needs another one: a relay that
-// was cut off for 9 s with a third of all daemons left the other two thirds of its zone to the
-// store.
-func (n *Node) suspectAloneCutOff() bool {
-	return !n.storeReachedSince.IsZero() && n.now().Sub(n.storeReachedSince) >= n.staleFraction(aloneReplacePart)
+// onlySuspectCutOff reports whether the store has answered this daemon for so long that a relay
+// still out of touch must be cut off alone. The zone then needs another relay: one that was cut
+// off for 9 s with a third of all daemons left the other two thirds of its zone to the store.
+func (n *Node) onlySuspectCutOff() bool {
+	return !n.storeReachedSince.IsZero() && n.now().Sub(n.storeReachedSince) >= n.staleFraction(aloneReplaceFraction)
 }
 
-// readRecords lists the records of all zones, which costs one call as reading the own record
-// does: they hold what a daemon must know before it sends anything. It takes over a record that
-// names nobody, this daemon's own address or a relay that failed twice.
+// readRecords lists the records of all zones, which costs one call, just as reading the own record
+// does: they hold what a daemon must know before it sends anything. This daemon takes over its
+// zone's record if that names nobody, this daemon's own address or a relay that failed twice, or,
+// while this daemon starts, a relay whose link is too slow for snapshots.
 func (n *Node) readRecords(ctx context.Context) {
-	n.nextLookAt = n.now().Add(n.opts.Uniform(minSettle, maxSettle))
+	n.nextSearchAt = n.now().Add(n.opts.Uniform(minSearchDelay, maxSearchDelay))
 	kind, _, _ := strings.Cut(n.opts.Key, "/")
 	l, err := n.Feed.ListKind(ctx, kind)
 	if err != nil {
@@ -214,15 +213,15 @@
 	return value
 }
 
-// noteRecordWrite handles the result of a write of the record. One whose outcome is unknown is
-// read back by the next readRecords.
+// noteRecordWrite handles the result of a write of the record. After a write whose outcome is
+// unknown, the next readRecords shows what the record holds.
 func (n *Node) noteRecordWrite(err error) {
 	switch {
 	case err == nil:
 		n.becomeRelay()
 	case errors.Is(err, objectapi.ErrConflict):
-		n.suspect = "" // the winner may be the one that failed before
-		n.nextLookAt = n.now().Add(n.opts.Uniform(minConflictDelay, maxConflictDelay))
+		n.suspect = "" // the daemon that won the race may be the one that failed before
+		n.nextSearchAt = n.now().Add(n.opts.Uniform(minConflictDelay, maxConflictDelay))
 	}
 }
 
@@ -233,11 +232,11 @@
 	}
 	n.suspect = ""
 	n.knownRelays.setOwn(n.opts.Address)
-	n.nextLookAt = n.now().Add(recheckInterval)
-	n.Kick() // relays of other zones may have updates that this one needs
+	n.nextSearchAt = n.now().Add(recheckInterval)
+	n.Kick() // relays of other zones may have updates that this daemon needs
 }
 
-// useRelay makes another daemon this one's relay.
+// useRelay makes another daemon the relay of this one.
 func (n *Node) useRelay(address string) {
 	if n.isRelay.Swap(false) {
 		n.opts.Log.Info("no longer the zone's relay", zap.String("relay", address))
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -11,12 +11,12 @@
 )
 
 // A relay that failed once is asked again before any daemon replaces it: after an outage of the
-// store all relays look stale at once.
+// store the proofs of all relays are stale at once.
 func TestRelayStaysAfterStoreOutage(t *testing.T) {
 	z := newZone(3)
 	z.stepAll(t, 6)
 	relay := z.activeRelays()[0]
-	z.down = true
+	z.storeDown = true
 	for range 8 {
 		z.advance(500 * time.Millisecond)
 		for _, d := range z.daemons {
@@ -26,7 +26,7 @@
 	for _, d := range z.daemons {
 		must.ErrorIs(t, d.step(), objectapi.ErrUnavailable)
 	}
-	z.down = false
+	z.storeDown = false
 	writes := z.writes
 	must.NoError(t, relay.step())
 	z.stepAll(t, 6)
@@ -45,12 +45,12 @@
 	z.change("x", false)
 	z.stepAll(t, 1)
 	for _, d := range z.daemons {
-		must.True(t, d == dead || !d.Relayed() && len(d.state) == 1, must.Sprint("nobody waits for a new relay"))
+		must.True(t, d == dead || !d.Relayed() && len(d.state) == 1, must.Sprint("no daemon waits for a new relay"))
 	}
 	z.stepAll(t, 6)
 	must.Len(t, 1, z.activeRelays())
 	for _, d := range z.daemons {
-		must.True(t, d.dead || d.relaying() || d.Relayed())
+		must.True(t, d.dead || d.isActiveRelay() || d.Relayed())
 	}
 	dead.restart() // it reads the record and polls the new relay
 	z.stepAll(t, 6)
@@ -67,7 +67,7 @@
 	old.dead = true // as seen by the others
 	z.stepAll(t, 6)
 	old.dead = false
-	must.True(t, old.relaying())
+	must.True(t, old.isActiveRelay())
 	z.advance(recheckInterval)
 	z.stepAll(t, 3)
 	must.Len(t, 1, z.activeRelays())
@@ -84,10 +84,9 @@
 	must.False(t, z.activeRelays()[0] == relay)
 }
 
-// A daemon that lost its relay waits for changes only until it is time to look for a relay
-// again. One that is shutting down looks for none, and must not poll the store in a tight loop
-// either.
-func TestDaemonWithoutRelayLooksForOneInTime(t *testing.T) {
+// A daemon that lost its relay waits for changes only until the next search for a relay is due. A
+// daemon that is shutting down does not search, and must not poll the store in a tight loop.
+func TestDaemonWithoutRelaySearchesInTime(t *testing.T) {
 	z := newZone(2)
 	z.longestDelays = true
 	z.stepAll(t, 6)
@@ -96,23 +95,23 @@
 		other = z.daemons[1]
 	}
 	follow := func() time.Duration {
-		_, err := other.Follow(context.Background(), entriesKind, other.at, 3*time.Second)
+		_, err := other.Follow(context.Background(), entriesKind, other.revision, 3*time.Second)
 		must.NoError(t, err)
 		return z.lastWait
 	}
 	z.activeRelays()[0].dead = true
-	must.Eq(t, maxSettle, follow())
-	z.advance(maxSettle - time.Millisecond)
+	must.Eq(t, maxSearchDelay, follow())
+	z.advance(maxSearchDelay - time.Millisecond)
 	must.Eq(t, time.Millisecond, follow())
 	other.Close()
 	z.advance(time.Hour)
 	must.Eq(t, 3*time.Second, follow())
 }
 
-// Guards against a relay that is cut off from the store alone and is replaced late: one cut off
-// for 9 s with a third of all daemons left the other two thirds of its zone to the store for as
-// long. A relay out of touch was replaced only after three times the staleness bound, as if the
-// store were down for all.
+// Guards against late replacement of a relay that is cut off from the store alone: one that was
+// cut off for 9 s with a third of all daemons left the other two thirds of its zone to the store
+// for as long. A relay out of touch was replaced only after three times the staleness bound, as if
+// the store were down for all daemons.
 func TestRelayCutOffAloneIsReplacedSoon(t *testing.T) {
 	z := newZone(6)
 	z.stepAll(t, 6)
@@ -146,7 +145,7 @@
 		z := newZone(5)
 		z.stepAll(t, 6)
 		relay := z.activeRelays()[0]
-		z.longestDelays, z.down = true, true
+		z.longestDelays, z.storeDown = true, true
 		step := func() {
 			z.advance(tick)
 			for _, d := range z.daemons {
@@ -156,7 +155,7 @@
 		for range 100 + extraTicks {
 			step()
 		}
-		z.down = false
+		z.storeDown = false
 		must.NoError(t, relay.step())
 		for _, d := range z.daemons {
 			d.cutOff = d != relay // they can learn it from the relay alone
@@ -185,9 +184,9 @@
 	other.restart()
 	other.opts.Peers = hangingTransport{z}
 	must.NoError(t, other.step()) // lists
-	begun := time.Now()
+	started := time.Now()
 	must.NoError(t, other.step())
-	must.Less(t, 300*time.Millisecond, time.Since(begun))
+	must.Less(t, 300*time.Millisecond, time.Since(started))
 	must.False(t, other.Relayed())
 	must.Eq(t, z.state(), other.state)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,19 +1,20 @@
 // Package relay lets the daemons of one zone follow the store through one of them. Every call
 // to the store has a cost and the store limits their rate; with hundreds of daemons, most calls
-// would return the same answer to each of them.
+// would return the same answer to each daemon.
 //
 // One daemon of a zone, named in a record of the store, watches the store itself. The others
 // poll it for the changes of the instances' entries and for how long ago it saw which version
-// of the configuration. A relay only saves calls. Correctness rests on ages that each daemon
-// counts itself, from when it sent the request: a proof that came through a relay is never
-// taken for younger than it is, and a daemon that receives no new proof in time asks the store
-// itself, as if there were no relays. So a relay that is dead, frozen, partitioned or out of
-// touch with the store costs calls, but violates no staleness bound. The configuration itself
-// is never relayed: keys stay between the store and each daemon.
+// of the configuration. A proof is a read of the store with the time at which it was sent: the
+// read shows every change made before that time. A relay only saves calls. Correctness rests on
+// the age of proofs, which each daemon counts itself, from when it sent its request: a proof
+// that came through a relay is never taken for younger than it is, and a daemon that receives no
+// new proof in time asks the store itself, as if there were no relays. So a relay that is dead,
+// frozen, partitioned or out of touch with the store costs calls, but violates no staleness
+// bound. The configuration itself is never relayed: keys stay between the store and each daemon.
 //
 // Through the same relays a zone shares what hundreds of daemons cannot know, or have too
 // little of, by themselves: retry credit (share.go), requests in flight by instance and stalled
-// groups (loads.go, exchange.go). All of it is a hint except retry credit, which is earned once
+// groups (loads.go, exchange.go). All of it is a hint except retry credit, which is accrued once
 // and spent once.
 package relay
 
@@ -33,41 +34,42 @@
 	"pearlanding/internal/steady"
 )
 
-// Fractions of the age at which a proof is stale (Options.Stale). A relay asks the store,
-// pauses, and asks again: its newest proof is at most two of its waits and a pause old, and
-// that of its peer another wait and pause more.
+// Durations as fractions or multiples of the age at which a proof is stale, which the Options
+// set. A relay asks the store, pauses, and asks again: its newest proof is at most two of its
+// waits and a pause old, and that of its peer another wait and pause more.
 const (
-	relayWaitPart     = 1.0 / 3  // wait of a relay's own watch: each new call is a proof
-	relayPausePart    = 1.0 / 5  // a relay's pause after changes
-	pollWaitPart      = 1.0 / 4  // how long a relay may hold a peer's call
-	peerPausePart     = 1.0 / 6  // a peer's pause after changes
-	minCallPart       = 1.0 / 8  // minimum time for a call, however old the last proof is
-	minWaitPart       = 1.0 / 16 // minimum time that a relay may hold it, half of minCallPart, so that calls are not back to back
-	answerMarginPart  = 1.0 / 5  // how much longer than its hold time a call may take
-	outageReplacePart = 3.0      // how long a relay may be out of touch with the store until it is replaced
-	aloneReplacePart  = 1.0 / 2  // the same while the store answers the daemons that could replace it
+	relayWaitFraction     = 1.0 / 3  // wait of a relay's own watch: each new call is a proof
+	relayPauseFraction    = 1.0 / 5  // a relay's pause after changes
+	pollWaitFraction      = 1.0 / 4  // how long a relay may hold a peer's call
+	peerPauseFraction     = 1.0 / 6  // a peer's pause after changes
+	minCallFraction       = 1.0 / 8  // minimum time for a call, however old the last proof is
+	minWaitFraction       = 1.0 / 16 // minimum time for which a relay may hold a call, half of minCallFraction, so that calls are not back to back
+	answerMarginFraction  = 1.0 / 5  // how much longer than its hold time a call may take
+	outageReplaceFraction = 3.0      // how long a relay may be out of touch with the store until it is replaced
+	aloneReplaceFraction  = 1.0 / 2  // the same while the store answers the daemons that could replace it
 )
 
 // Intervals and limits that do not depend on the staleness bound.
 const (
-	// servingWindow is how long after a peer's call a relay still counts as polled.
-	servingWindow = 3 * time.Second
-	// minSettle and maxSettle bound the random delay before the record is read, so that daemons
-	// that lose a relay together don't all write.
-	minSettle = 300 * time.Millisecond
-	maxSettle = 1500 * time.Millisecond
-	// fastLinkMbps is the link rate in Mbit/s from which on a machine is preferred as its
-	// zone's relay: it reads the record before the others do, within maxFastSettle of a start,
-	// or between minFastSettle and maxFastSettle after a loss.
-	fastLinkMbps  = 100.0
-	minFastSettle = 50 * time.Millisecond
-	maxFastSettle = 200 * time.Millisecond
+	// recentContact is how long a peer's poll, or an answer of a relay, counts as recent.
+	recentContact = 3 * time.Second
+	// minSearchDelay and maxSearchDelay bound the random delay before a daemon searches for a
+	// relay, so that daemons that lose a relay together don't all write the record.
+	minSearchDelay = 300 * time.Millisecond
+	maxSearchDelay = 1500 * time.Millisecond
+	// fastLinkMbps is the minimum link rate, in Mbit/s, of a machine that is preferred as its
+	// zone's relay: it reads the record before the others do, within maxFastSearchDelay of a
+	// start, or between minFastSearchDelay and maxFastSearchDelay after a loss.
+	fastLinkMbps       = 100.0
+	minFastSearchDelay = 50 * time.Millisecond
+	maxFastSearchDelay = 200 * time.Millisecond
 	// minReaskDelay and maxReaskDelay bound the random delay between calls to a relay that is
 	// out of touch with the store: its answer ends an outage for its zone.
 	minReaskDelay = 150 * time.Millisecond
 	maxReaskDelay = 500 * time.Millisecond
-	// minConflictDelay and maxConflictDelay bound the same delay after a lost write race: the
-	// winner has begun to follow by then.
+	// minConflictDelay and maxConflictDelay bound the random delay before the record is read
+	// again after another daemon won the race to write it: the winner has begun to follow the
+	// store by then.
 	minConflictDelay = 100 * time.Millisecond
 	maxConflictDelay = 300 * time.Millisecond
 	// firstCallTimeout bounds a daemon's first call to a relay, as nothing is served before it.
@@ -104,7 +106,7 @@
 	Store   objectapi.Feed
 	Kind    string // of the entries that are relayed
 	Key     string // of the zone's record
-	Holder  string // unique for each process
+	Holder  string // identifies this daemon, unique for each process
 	Address string // where this daemon serves peers, IP:port
 	// LinkMbps is the rate of this machine's link in Mbit/s.
 	LinkMbps float64
@@ -113,10 +115,11 @@
 	Stale func() time.Duration
 	// Direct reports whether this daemon must follow the store itself now.
 	Direct func() bool
-	// Confirm is called with a version that the configuration's object had at a time.
+	// Confirm is called with a version of the configuration's object and a time at which the
+	// object had that version.
 	Confirm func(version uint64, proved time.Time)
-	// Returned, if set, is called when a lost relay answers again or another one is used: the
-	// store answers that one.
+	// Returned, if set, is called when this daemon begins to use a relay, be it a lost one that
+	// answers again or another one: such a relay should reach the store.
 	Returned func()
 	// Traffic connects this daemon's requests to what the zone shares.
 	Traffic Traffic
@@ -124,15 +127,15 @@
 	Gate *backpressure.Gate
 	// Quarantine is what this daemon knows of requests that crash instances; nil: nothing.
 	Quarantine Quarantine
-	// Listed, if set, is called with each listing of the kind of Key.
+	// Listed, if set, is called with each listing of the records of all zones.
 	Listed func(l objectapi.Listing)
-	// Bootstrap: all daemons start together, and no relay can be known yet.
+	// Bootstrap is set if all daemons start together, so that no zone has a relay yet.
 	Bootstrap bool
 	// Standing lists the instances whose running streams recently stopped making progress for
 	// this daemon.
 	Standing func(now time.Time) []string
-	// Uniform returns a random duration in [least, most).
-	Uniform func(least, most time.Duration) time.Duration
+	// Uniform returns a random duration in [low, high).
+	Uniform func(low, high time.Duration) time.Duration
 	Now     func() time.Time
 	Log     *zap.Logger
 }
@@ -152,72 +155,74 @@
 	isRelay      atomic.Bool         // the record names this daemon, as far as it knows
 	storeReached atomic.Bool         // the last call to the store for entries succeeded
 	stopping     atomic.Bool         // this daemon is shutting down
-	// recheckRecord: the zone's record, as last listed, differs from what this daemon, its
-	// relay, wants there.
+	// recheckRecord is set when a listing shows that the zone's record is not as this daemon, the
+	// zone's relay, would write it.
 	recheckRecord atomic.Bool
-	// distributeSnapshots: a zone's record tells daemons that start to take snapshots.
+	// distributeSnapshots is set while some zone's record tells daemons that start to take
+	// snapshots from peers.
 	distributeSnapshots atomic.Bool
 	polledAt            steady.Time // when a peer polled last
 	// relayAnsweredAt is when a relay answered last, even with an error.
 	relayAnsweredAt steady.Time
 	viaRelay        atomic.Bool // the last call of Follow went through a relay
 
-	relayUnresponsive atomic.Bool // the relay did not answer a quarantine sync
+	relayUnresponsive atomic.Bool // the last quarantine sync with the relay failed or found no relay
 	syncStates        syncStates
 	knownRelays       knownRelays   // of all zones, as last listed
-	syncRequested     chan struct{} // there are updates to send or to request
-	polled            chan struct{} // a peer polls after none did for servingWindow
+	syncRequested     chan struct{} // signalled when there are quarantine updates to send or to request
+	polled            chan struct{} // signalled when a peer polls after none did for recentContact
 
 	// State of the goroutine that calls Follow.
-	relayAddress string // empty: none that is known to work
-	suspect      string // the relay that failed; empty: none
-	failedAt     time.Time
-	// loggedOutOfTouch: it was logged that the suspect answers but does not reach the store.
+	relayAddress string    // empty: none that is known to work
+	suspect      string    // the relay that failed; empty: none
+	failedAt     time.Time // when the suspect failed
+	// loggedOutOfTouch is set once it was logged that the suspect answers but does not reach the
+	// store.
 	loggedOutOfTouch  bool
-	storeReachedSince time.Time // since when the store has answered this daemon's own calls without fail
-	configSeq         uint64    // last received from the relay
-	provedAt          time.Time // by the last answer of a relay
-	nextLookAt        time.Time
-	lookedOnce        bool      // the zone's record was read at least once
+	storeReachedSince time.Time // since when the store has answered all of this daemon's own calls; zero: it does not
+	configSeq         uint64    // of the last configuration read that the relay sent
+	provedAt          time.Time // time of the newest proof from the relay; zero: none yet
+	nextSearchAt      time.Time // when findRelay next asks the suspect or reads the record
+	startDelayDone    bool      // the random delay of the first search is over, or was not needed
 	starting          bool      // the entries are not known yet
 	relayUsedSince    time.Time // since when relayAddress is the relay
 }
 
-// NewNode returns a node that first looks for its zone's relay. Where all daemons start
+// NewNode returns a node that first searches for its zone's relay. Where all daemons start
 // together, random delays spread the first reads of the record, so that most daemons find a
 // relay.
 func NewNode(o Options) *Node {
-	n := &Node{Feed: o.Store, opts: o, history: newHistory(), reports: newReports(), nextLookAt: o.Now(), syncRequested: make(chan struct{}, 1), polled: make(chan struct{}, 1)}
+	n := &Node{Feed: o.Store, opts: o, history: newHistory(), reports: newReports(), nextSearchAt: o.Now(), syncRequested: make(chan struct{}, 1), polled: make(chan struct{}, 1)}
 	switch {
 	case o.Bootstrap && n.hasFastLink():
-		n.nextLookAt = n.nextLookAt.Add(o.Uniform(0, maxFastSettle))
+		n.nextSearchAt = n.nextSearchAt.Add(o.Uniform(0, maxFastSearchDelay))
 	case o.Bootstrap && o.LinkMbps > 0:
-		n.nextLookAt = n.nextLookAt.Add(o.Uniform(minSettle, maxSettle))
-	case o.Bootstrap: // no machine's link rate is known
-		n.nextLookAt = n.nextLookAt.Add(o.Uniform(0, maxSettle))
+		n.nextSearchAt = n.nextSearchAt.Add(o.Uniform(minSearchDelay, maxSearchDelay))
+	case o.Bootstrap: // no link rates are known
+		n.nextSearchAt = n.nextSearchAt.Add(o.Uniform(0, maxSearchDelay))
 	}
 	return n
 }
 
-// hasFastLink reports whether this machine's link is fast enough to be preferred as a relay.
+// hasFastLink reports whether this machine's link is fast enough for a preferred relay.
 func (n *Node) hasFastLink() bool { return n.opts.LinkMbps >= fastLinkMbps }
 
-// lookDelay returns how long to wait after a loss until the zone's record is read.
-func (n *Node) lookDelay() time.Duration {
+// searchDelay returns a random delay between the loss of a relay and the next search.
+func (n *Node) searchDelay() time.Duration {
 	if n.hasFastLink() {
-		return n.opts.Uniform(minFastSettle, maxFastSettle)
+		return n.opts.Uniform(minFastSearchDelay, maxFastSearchDelay)
 	}
-	return n.opts.Uniform(minSettle, maxSettle)
+	return n.opts.Uniform(minSearchDelay, maxSearchDelay)
 }
 
 func (n *Node) now() time.Time { return n.opts.Now() }
 
-// Settles returns how long after its start a daemon may be without a relay that exists.
+// Settles returns for how long after its start a daemon may not have found an existing relay.
 func (n *Node) Settles() time.Duration {
 	if n.opts.Bootstrap {
-		return maxSettle
+		return maxSearchDelay
 	}
-	return minSettle
+	return minSearchDelay
 }
 
 // staleFraction returns a fraction of the age at which a proof is stale.
@@ -225,21 +230,21 @@
 	return time.Duration(fraction * float64(n.opts.Stale()))
 }
 
-// Pace returns how long to pause after changes; 0: this daemon neither serves peers nor follows
-// a relay.
+// Pace returns how long to pause between receiving changes and asking for more. 0: this daemon
+// neither serves peers nor follows a relay.
 func (n *Node) Pace() time.Duration {
 	switch {
 	case n.Serving():
-		return n.staleFraction(relayPausePart)
+		return n.staleFraction(relayPauseFraction)
 	case n.Relayed():
-		return n.staleFraction(peerPausePart)
+		return n.staleFraction(peerPauseFraction)
 	}
 	return 0
 }
 
 // Serving reports whether peers poll this daemon.
 func (n *Node) Serving() bool {
-	return n.relaying() && n.now().Sub(n.polledAt.Load()) < servingWindow
+	return n.isActiveRelay() && n.now().Sub(n.polledAt.Load()) < recentContact
 }
 
 // Holding reports whether this daemon is its zone's relay, as far as it knows, whether or not
@@ -248,7 +253,7 @@
 
 // Told reports whether a relay answered this daemon recently, even if only that it is out of
 // touch with the store: such a relay will announce that the store is back.
-func (n *Node) Told() bool { return n.now().Sub(n.relayAnsweredAt.Load()) < servingWindow }
+func (n *Node) Told() bool { return n.now().Sub(n.relayAnsweredAt.Load()) < recentContact }
 
 // Relayed reports whether the last call of Follow went through a relay.
 func (n *Node) Relayed() bool { return n.viaRelay.Load() }
@@ -256,7 +261,8 @@
 // Close makes this daemon refuse its peers' calls, so that they find another relay.
 func (n *Node) Close() { n.stopping.Store(true) }
 
-func (n *Node) relaying() bool {
+// isActiveRelay reports whether this daemon is its zone's relay and reaches the store.
+func (n *Node) isActiveRelay() bool {
 	return n.isRelay.Load() && n.storeReached.Load() && !n.stopping.Load()
 }
 
@@ -282,7 +288,7 @@
 	var l objectapi.Listing
 	err := error(errNoSnapshot)
 	if kind == n.opts.Kind && !n.opts.Bootstrap {
-		n.lookedOnce = true
+		n.startDelayDone = true
 		l, err = n.fetchSnapshot(ctx)
 	}
 	if err != nil {
@@ -299,15 +305,15 @@
 	if kind != n.opts.Kind {
 		return n.Feed.Follow(ctx, kind, after, wait)
 	}
-	if !n.lookedOnce {
-		n.lookedOnce = true
-		pause.For(ctx, n.nextLookAt.Sub(n.now()))
+	if !n.startDelayDone {
+		n.startDelayDone = true
+		pause.For(ctx, n.nextSearchAt.Sub(n.now()))
 	}
 	n.findRelay(ctx, after)
 	if n.relayAddress != "" && !n.opts.Direct() {
-		changes, err := n.askRelay(ctx, n.relayAddress, after, min(wait, n.staleFraction(pollWaitPart)))
+		changes, err := n.askRelay(ctx, n.relayAddress, after, min(wait, n.staleFraction(pollWaitFraction)))
 		if err == nil {
-			// Kept to serve peers if this daemon takes its relay's place.
+			// Kept so that this daemon can serve peers if it takes its relay's place.
 			n.history.applyChanges(after, changes, n.provedAt)
 		}
 		if err == nil || errors.Is(err, objectapi.ErrCompacted) || ctx.Err() != nil {
@@ -318,7 +324,7 @@
 	}
 	n.viaRelay.Store(false)
 	if n.suspect != "" && !n.opts.Direct() && !n.stopping.Load() {
-		wait = min(wait, max(n.nextLookAt.Sub(n.now()), fleet.ProveWait)) // look for the relay again then
+		wait = min(wait, max(n.nextSearchAt.Sub(n.now()), fleet.ProveWait)) // the next search is due then
 	}
 	return n.followStore(ctx, after, wait)
 }
@@ -327,8 +333,8 @@
 // proofs allow, and almost not at all if its own proof is old.
 func (n *Node) relayWait() time.Duration {
 	entries, _, _ := n.history.proofs()
-	maxWait := n.staleFraction(relayWaitPart)
-	if n.now().Sub(entries) > maxWait+n.staleFraction(relayPausePart) {
+	maxWait := n.staleFraction(relayWaitFraction)
+	if n.now().Sub(entries) > maxWait+n.staleFraction(relayPauseFraction) {
 		return fleet.ProveWait
 	}
 	return maxWait
@@ -338,7 +344,7 @@
 // peer must learn in time that what it knows still holds.
 func (n *Node) followStore(ctx context.Context, after uint64, wait time.Duration) (objectapi.Changes, error) {
 	select {
-	case <-n.polled: // from before this call
+	case <-n.polled: // discard a signal from before this call
 	default:
 	}
 	if n.Serving() {
@@ -384,8 +390,9 @@
 	return changes, err
 }
 
-// askRelay asks a relay, which may hold the call for a while. However it fails, this daemon
-// turns to the store before its last proof is stale.
+// askRelay asks a relay for changes and closes a gap in them. The relay may hold the call for a
+// while, but not so long that this daemon could not ask the store, after a failure, before its
+// last proof is stale.
 func (n *Node) askRelay(ctx context.Context, address string, after uint64, wait time.Duration) (objectapi.Changes, error) {
 	changes, gap, err := n.pollRelay(ctx, address, after, wait)
 	if err == nil && gap {
@@ -394,7 +401,7 @@
 	return changes, err
 }
 
-// pollRelay is askRelay without recovery. gap: the relay does not know all changes after the
+// pollRelay makes one call to a relay. gap: the relay does not know all changes after the
 // revision.
 func (n *Node) pollRelay(ctx context.Context, address string, after uint64, wait time.Duration) (changes objectapi.Changes, gap bool, err error) {
 	asked := n.now()
@@ -406,8 +413,8 @@
 		wait = 0
 	} else {
 		remaining := n.provedAt.Add(n.opts.Stale()).Sub(asked)
-		wait = min(wait, max(remaining-n.staleFraction(answerMarginPart), n.staleFraction(minWaitPart)))
-		timeout = max(min(wait+n.staleFraction(answerMarginPart), remaining), n.staleFraction(minCallPart))
+		wait = min(wait, max(remaining-n.staleFraction(answerMarginFraction), n.staleFraction(minWaitFraction)))
+		timeout = max(min(wait+n.staleFraction(answerMarginFraction), remaining), n.staleFraction(minCallFraction))
 	}
 	timed, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,11 +23,11 @@
 	}
 }
 
-// activeRelays lists the daemons that relay.
+// activeRelays returns the daemons that are relays and reach the store.
 func (z *zone) activeRelays() []*daemon {
 	var out []*daemon
 	for _, d := range z.daemons {
-		if !d.dead && d.relaying() {
+		if !d.dead && d.isActiveRelay() {
 			out = append(out, d)
 		}
 	}
@@ -48,7 +48,7 @@
 	for _, d := range z.daemons {
 		must.Eq(t, z.state(), d.state)
 		must.True(t, d == relay || d.Relayed())
-		must.True(t, d == relay || d.version == z.config[0].version)
+		must.True(t, d == relay || d.configVersion == z.config[0].version)
 	}
 }
 
@@ -57,7 +57,7 @@
 	z := newZone(2)
 	z.stepAll(t, 6)
 	planner := z.daemons[0]
-	if planner.relaying() {
+	if planner.isActiveRelay() {
 		planner = z.daemons[1]
 	}
 	planner.planner = true
@@ -77,11 +77,11 @@
 	must.NoError(t, relay.step())
 	asked := z.now
 	z.advance(900*time.Millisecond + time.Nanosecond)
-	c, err := other.Follow(context.Background(), entriesKind, other.at, time.Second)
+	c, err := other.Follow(context.Background(), entriesKind, other.revision, time.Second)
 	must.NoError(t, err)
 	must.Eq(t, 901*time.Millisecond, c.Age)
 	must.True(t, z.now.Add(-c.Age).Before(asked))
-	must.False(t, other.config.After(asked))
+	must.False(t, other.configProvedAt.After(asked))
 }
 
 // A proof's age counts back from when the relay answered, which was no earlier than the sending
@@ -100,10 +100,10 @@
 			z.advance(400 * time.Millisecond)
 			return PollReply{HeldMS: held, EntriesAgeMS: 800, ConfigVersion: 9, ConfigAgeMS: 800, Revision: z.revision}
 		}
-		c, err := other.Follow(context.Background(), entriesKind, other.at, time.Second)
+		c, err := other.Follow(context.Background(), entriesKind, other.revision, time.Second)
 		must.NoError(t, err)
 		must.Eq(t, age, c.Age)
-		must.Eq(t, asked.Add(-age), other.config)
+		must.Eq(t, asked.Add(-age), other.configProvedAt)
 	}
 }
 
@@ -111,7 +111,7 @@
 	z := newZone(3)
 	z.stepAll(t, 6)
 	relay := z.activeRelays()[0]
-	z.advance(stale + time.Millisecond) // the relay makes no call to the store
+	z.advance(staleAfter + time.Millisecond) // meanwhile the relay makes no call to the store
 	z.change("late", false)
 	for _, d := range z.daemons {
 		if d != relay {
@@ -251,7 +251,7 @@
 func TestRelayedProofsHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := newZone(rapid.IntRange(2, 5).Draw(t, "daemons"))
-		changed := map[uint64]time.Time{} // when the store took a change
+		changed := map[uint64]time.Time{} // when each change was made, by revision
 		for range rapid.IntRange(10, 120).Draw(t, "steps") {
 			z.advance(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
 			d := z.daemons[rapid.IntRange(0, len(z.daemons)-1).Draw(t, "daemon")]
@@ -265,22 +265,22 @@
 			case 2:
 				d.cutOff = !d.cutOff
 			case 3:
-				z.down = !z.down
+				z.storeDown = !z.storeDown
 			case 4:
 				d.planner = !d.planner
 			case 5, 6, 7:
 				z.change([]string{"a", "b", "c"}[rapid.IntRange(0, 2).Draw(t, "key")], rapid.Bool().Draw(t, "removed"))
 				changed[z.revision] = z.now
 			case 8:
-				z.configure()
+				z.changeConfig()
 			case 9:
 				z.staleLag = rapid.Uint64Range(0, 5).Draw(t, "behind")
 			default:
-				_ = d.step() // an error only means that it learns nothing
+				_ = d.step() // after an error the daemon knows nothing new, which breaks no proof
 			}
 			z.checkProofs(t, changed)
 		}
-		z.down = false
+		z.storeDown = false
 		for _, d := range z.daemons {
 			d.cutOff, d.planner = false, false
 			if d.dead {
@@ -290,12 +290,13 @@
 		z.stepAll(t, 60)
 		for _, d := range z.daemons {
 			must.Eq(t, z.state(), d.state)
-			must.True(t, d.relaying() || d.Relayed())
+			must.True(t, d.isActiveRelay() || d.Relayed())
 		}
 		must.Len(t, 1, z.activeRelays())
 	})
 }
 
+// checkProofs checks that each daemon knows every change that its proofs cover.
 func (z *zone) checkProofs(t must.T, changed map[uint64]time.Time) {
 	for _, d := range z.daemons {
 		if d.dead || !d.listed {
@@ -308,10 +309,10 @@
 			}
 		}
 		for key, version := range minVersions {
-			must.True(t, d.state[key] >= version || d.at >= version, must.Sprint(d.name, " missed a change that its proof covers"))
+			must.True(t, d.state[key] >= version || d.revision >= version, must.Sprint(d.name, " missed a change that its proof covers"))
 		}
-		if !d.config.IsZero() {
-			must.True(t, z.configAt(d.config.Add(-time.Nanosecond)) <= d.version, must.Sprint("configuration"))
+		if !d.configProvedAt.IsZero() {
+			must.True(t, z.configAt(d.configProvedAt.Add(-time.Nanosecond)) <= d.configVersion, must.Sprint("configuration"))
 		}
 	}
 }
@@ -327,7 +328,7 @@
 	relay := z.activeRelays()[0]
 	z.change("b", false)
 	z.change("a", true)
-	z.floor = z.revision
+	z.compactedUpTo = z.revision
 	must.NoError(t, relay.step()) // learns that the history was compacted
 	for _, d := range z.daemons {
 		if d != relay {
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -11,10 +11,10 @@
 
 // Traffic connects a daemon's own requests to what its zone shares.
 type Traffic struct {
-	// Spare removes and returns the retry credit, by service, that its requests accrued and
-	// that it does not need.
+	// Spare removes and returns the retry credit, by service, that the daemon's requests accrued
+	// and that the daemon does not need.
 	Spare func(now time.Time) map[string]float64
-	// InFlight returns its requests in flight, by instance.
+	// InFlight returns the daemon's requests in flight, by instance.
 	InFlight func() map[string]int
 	// Progress returns the groups whose running streams recently stopped making progress, and
 	// those whose streams deliver events.
@@ -33,17 +33,17 @@
 	loads loads
 
 	mu         sync.Mutex
-	poolLevels map[string]float64 // of the relay's pool, as last received
-	levelsAt   time.Time
-	relay      string // the address that answered last; empty: none
-	// Quarantine updates are requested from a relay as long as it answers, whether or not it
-	// reaches the store.
-	lastRelay      string
-	clusterWideSeq uint64 // the sequence number that it sent last
+	poolLevels map[string]float64 // retry credit in the relay's pool, by service, as last received
+	levelsAt   time.Time          // when poolLevels were received
+	relay      string             // address of the relay in use; empty: none
+	// lastUsedRelay stays after the relay is lost: quarantine updates are requested from a relay
+	// as long as it answers, whether or not it reaches the store.
+	lastUsedRelay  string
+	clusterWideSeq uint64 // quarantine sequence number that lastUsedRelay sent last
 	syncDue        bool   // that number is new, and no sync has succeeded since
 }
 
-// setRelay records the relay that answers this daemon.
+// setRelay records the relay that this daemon uses.
 func (s *zoneShare) setRelay(relay string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,47 +51,49 @@
 	s.rememberRelay(relay)
 }
 
-// rememberRelay records a zone's relay for quarantine syncs; s.mu is held.
+// rememberRelay records the relay to sync quarantine updates with; s.mu is held.
 func (s *zoneShare) rememberRelay(relay string) {
-	if s.lastRelay != relay {
-		s.lastRelay, s.clusterWideSeq = relay, 0
+	if s.lastUsedRelay != relay {
+		s.lastUsedRelay, s.clusterWideSeq = relay, 0
 	}
 }
 
-// lastAnswered returns the relay that answered last, and whether it has updates.
-func (s *zoneShare) lastAnswered() (relay string, due bool) {
+// lastUsed returns the relay in use or, after its loss, the one used last, and whether a
+// quarantine sync with it is due.
+func (s *zoneShare) lastUsed() (relay string, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastRelay, s.syncDue
+	return s.lastUsedRelay, s.syncDue
 }
 
-// relayLost reports whether the relay that answered last was lost and none was found since.
+// relayLost reports whether the relay in use was lost and none was found since.
 func (s *zoneShare) relayLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.relay == "" && s.lastRelay != ""
+	return s.relay == "" && s.lastUsedRelay != ""
 }
 
-// setSyncDue records that a relay is being asked for its updates, or that this failed.
-func (s *zoneShare) setSyncDue(relay string, failed bool) {
+// setSyncDue records whether a quarantine sync with a relay is due: not while a sync runs, but
+// again if it failed.
+func (s *zoneShare) setSyncDue(relay string, due bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lastRelay == relay {
-		s.syncDue = failed
+	if s.lastUsedRelay == relay {
+		s.syncDue = due
 	}
 }
 
-// lastSeq returns the sequence number that a relay sent last.
+// lastSeq returns the quarantine sequence number that a relay sent last; 0: none.
 func (s *zoneShare) lastSeq(relay string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lastRelay != relay {
+	if s.lastUsedRelay != relay {
 		return 0
 	}
 	return s.clusterWideSeq
 }
 
-// noteSeq records the sequence number that a relay sent and reports whether it is new.
+// noteSeq records the quarantine sequence number that a relay sent and reports whether it is new.
 func (s *zoneShare) noteSeq(relay string, seq uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,22 +103,23 @@
 	return isNew
 }
 
-// setLevels records the levels of a relay's pool.
+// setLevels records the levels of the relay's retry pool.
 func (s *zoneShare) setLevels(levels map[string]float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.poolLevels, s.levelsAt = levels, now
 }
 
-// clearRelay records that the relay does not answer.
+// clearRelay records that the relay was lost.
 func (s *zoneShare) clearRelay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.relay, s.poolLevels = "", nil
 }
 
-// current returns the relay and its pool's levels, if these are recent.
-func (s *zoneShare) current(now time.Time) (relay string, levels map[string]float64) {
+// relayInUse returns the address of the relay in use (empty: none), and the levels of its retry
+// pool if these are recent.
+func (s *zoneShare) relayInUse(now time.Time) (relay string, levels map[string]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.levelsAt) > levelsValidFor {
@@ -129,11 +132,11 @@
 // none or there is no relay. A retry that was granted and not used is lost to the pool.
 func (n *Node) Repeat(ctx context.Context, service string) bool {
 	now := n.now()
-	if n.relaying() {
+	if n.isActiveRelay() {
 		n.share.pool.Put(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
 		return n.share.pool.Take(service, n.opts.Traffic.Rule(), now)
 	}
-	relay, _ := n.share.current(now)
+	relay, _ := n.share.relayInUse(now)
 	if relay == "" {
 		return false
 	}
@@ -146,16 +149,16 @@
 // MayRepeat reports whether the zone's pool probably has a retry of a service.
 func (n *Node) MayRepeat(service string) bool {
 	now := n.now()
-	if n.relaying() {
+	if n.isActiveRelay() {
 		return n.share.pool.Levels(n.opts.Traffic.Rule(), now)[service] >= 1
 	}
-	_, levels := n.share.current(now)
+	_, levels := n.share.relayInUse(now)
 	return levels[service] >= 1
 }
 
 // answerRetry answers a peer that needs a retry.
 func (n *Node) answerRetry(_ context.Context, r RetryRequest) (RetryReply, error) {
-	if !n.relaying() {
+	if !n.isActiveRelay() {
 		return RetryReply{}, nil
 	}
 	return RetryReply{n.share.pool.Take(r.Service, n.opts.Traffic.Rule(), n.now())}, nil
--- a/internal/relay/share_messages.go
+++ b/internal/relay/share_messages.go
@@ -26,11 +26,12 @@
 	// shareInterval is how often a daemon sends its load, and a relay asks for those of other
 	// zones: loads as old as a stream's duration balance streams no better than random choice.
 	shareInterval = 250 * time.Millisecond
-	shareTimeout  = 200 * time.Millisecond
+	// shareTimeout bounds one exchange of loads and limits.
+	shareTimeout = 200 * time.Millisecond
 	// loadValidFor is how long a daemon's report of its load counts.
 	loadValidFor = time.Second
-	// totalValidFor is how long a total of loads is reused for peers: 59 of them ask four times
-	// a second.
+	// totalValidFor is how long a total of loads is reused for peers: 59 peers ask for it four
+	// times a second.
 	totalValidFor = 50 * time.Millisecond
 	// relayListInterval is how often a relay lists the other relays, which is a call to the
 	// store.
@@ -83,7 +84,7 @@
 	Retries map[string]float64 `json:"repeats,omitempty"`
 	// StalledGroups are the groups that are stalled for several daemons.
 	StalledGroups []groupRef `json:"standing,omitempty"`
-	Daemons       int        `json:"daemons"` // number that reported their loads
+	Daemons       int        `json:"daemons"` // number of daemons that reported their loads
 	// Limits are the limits known to the relay.
 	Limits []backpressure.Update `json:"limits,omitempty"`
 	// QuarantineSeq is as in PollReply.
--- a/internal/relay/share_test.go
+++ b/internal/relay/share_test.go
@@ -40,7 +40,7 @@
 	z.advance(totalValidFor + 1)
 	for _, isRelay := range []bool{false, true} {
 		for _, d := range z.daemons {
-			if !d.dead && d.relaying() == isRelay {
+			if !d.dead && d.isActiveRelay() == isRelay {
 				x := &Exchange{Node: d.Node, List: recordsOf()}
 				x.runOnce(context.Background())
 			}
@@ -55,16 +55,16 @@
 	a.inFlight, b.inFlight, relay.inFlight = map[string]int{"x": 2, "y": 1}, map[string]int{"x": 3}, map[string]int{"y": 4}
 	z.exchangeAll()
 	z.exchangeAll()
-	must.Eq(t, map[string]int{"x": 3, "y": 4}, a.others)
-	must.Eq(t, map[string]int{"x": 2, "y": 5}, b.others)
-	must.Eq(t, map[string]int{"x": 5, "y": 1}, relay.others)
-	must.Eq(t, []int{3, 3, 3}, []int{a.reporters, b.reporters, relay.reporters})
+	must.Eq(t, map[string]int{"x": 3, "y": 4}, a.othersInFlight)
+	must.Eq(t, map[string]int{"x": 2, "y": 5}, b.othersInFlight)
+	must.Eq(t, map[string]int{"x": 5, "y": 1}, relay.othersInFlight)
+	must.Eq(t, []int{3, 3, 3}, []int{a.reportingDaemons, b.reportingDaemons, relay.reportingDaemons})
 	a.dead = true
 	z.advance(loadValidFor / 2)
 	z.exchangeAll()
 	z.advance(loadValidFor/2 + 1)
 	z.exchangeAll()
-	must.Eq(t, map[string]int{"x": 3}, relay.others, must.Sprint("a report expires"))
+	must.Eq(t, map[string]int{"x": 3}, relay.othersInFlight, must.Sprint("a report expires"))
 }
 
 // Relays of two zones exchange the totals of their zones, and each sends them to its peers.
@@ -78,31 +78,31 @@
 	relay.opts.Address = "here"
 	x := &Exchange{Node: relay.Node, List: recordsOf("here", remoteRelay.name, "nobody")}
 	x.runOnce(context.Background())
-	must.Eq(t, map[string]int{"x": 8}, relay.others)
+	must.Eq(t, map[string]int{"x": 8}, relay.othersInFlight)
 	z.advance(totalValidFor + 1)
 	z.exchangeAll()
-	must.Eq(t, map[string]int{"x": 7}, a.others)
+	must.Eq(t, map[string]int{"x": 7}, a.othersInFlight)
 }
 
 // Spare retry credit of one daemon may be used by another one, once.
 func TestRetriesAreShared(t *testing.T) {
 	z, relay, a, b := zoneWithRelay(t)
 	must.False(t, b.Repeat(context.Background(), "s"))
-	a.spare = map[string]float64{"s": 1.2}
-	relay.spare = map[string]float64{"s": 0.3}
+	a.spareRetries = map[string]float64{"s": 1.2}
+	relay.spareRetries = map[string]float64{"s": 0.3}
 	z.exchangeAll()
 	must.False(t, b.MayRepeat("other"))
 	must.True(t, b.Repeat(context.Background(), "s"))
 	must.False(t, b.Repeat(context.Background(), "s"))
-	relay.spare = map[string]float64{"s": 1.5}
+	relay.spareRetries = map[string]float64{"s": 1.5}
 	must.True(t, relay.Repeat(context.Background(), "s"))
 }
 
-// A daemon knows by the last answer whether the pool has retries, and does not ask a relay that
-// is gone.
+// A daemon knows from the relay's last answer whether the pool has retries, and does not ask a
+// relay that is gone.
 func TestRetriesAfterRelayLoss(t *testing.T) {
 	z, relay, a, b := zoneWithRelay(t)
-	a.spare = map[string]float64{"s": 5}
+	a.spareRetries = map[string]float64{"s": 5}
 	z.exchangeAll()
 	must.True(t, b.MayRepeat("s"))
 	relay.dead = true
@@ -110,14 +110,14 @@
 	z.advance(levelsValidFor + 1)
 	must.False(t, b.MayRepeat("s"))
 	z.stepAll(t, 8)
-	must.False(t, b.MayRepeat("s"), must.Sprint("the next relay's pool begins empty"))
-	a.spare = map[string]float64{"s": 5}
+	must.False(t, b.MayRepeat("s"), must.Sprint("the next relay's pool starts empty"))
+	a.spareRetries = map[string]float64{"s": 5}
 	z.exchangeAll()
 	must.True(t, z.activeRelays()[0].MayRepeat("s"))
 }
 
-// A group is stalled for all when it is for two daemons and delivers events to none. One report
-// alone is not enough, and one daemon that receives events outweighs all reports.
+// A group is announced as stalled when two daemons report it and it delivers events to none. One
+// report alone is not enough, and one daemon that receives events outweighs all reports.
 func TestStalledGroupsAreAnnounced(t *testing.T) {
 	z, relay, a, b := zoneWithRelay(t)
 	group := fleet.Key{Name: "g", Epoch: 3}
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -31,8 +31,8 @@
 	snapshotTimeout = time.Second
 	// snapshotReuse is how long a packed snapshot is reused.
 	snapshotReuse = time.Second
-	// copyShare is the fraction of a link's capacity within copyWindow that is used for
-	// snapshot copies.
+	// copyShare is the fraction of a link's capacity that snapshot copies may use within each
+	// copyWindow.
 	copyWindow = 200 * time.Millisecond
 	copyShare  = 0.5
 	// sourceValidFor is how long a daemon that was sent a snapshot is named as a source.
@@ -52,7 +52,8 @@
 type SnapshotRequest struct {
 	Address  string  `json:"address"` // where the caller serves peers
 	LinkMbps float64 `json:"link_mbps"`
-	// Direct: the daemon that was named before did not answer.
+	// Direct is set if the daemon that was named before sent no snapshot: the receiver must then
+	// send its own.
 	Direct bool `json:"direct,omitempty"`
 }
 
@@ -70,8 +71,8 @@
 	return out, err
 }
 
-// answerSnapshot answers a daemon that starts. A daemon that is not a relay sends the entries
-// itself, as a relay named it.
+// answerSnapshot answers a daemon that starts. If this daemon is not the relay, a relay named it
+// as a source, and it sends the entries itself.
 func (n *Node) answerSnapshot(ctx context.Context, r SnapshotRequest) (SnapshotReply, error) {
 	snapshot, err := n.awaitSnapshot(ctx)
 	if err != nil {
@@ -115,17 +116,17 @@
 	packedAt    time.Time // zero: never
 	sources     []source  // in the order in which they were sent a snapshot
 	windowStart time.Time // start of the current copyWindow
-	sent        int       // copies sent by this daemon in the current window
+	ownCopies   int       // copies sent by this daemon in the current window
 }
 
 // source is a daemon that was sent a snapshot, or is about to be.
 type source struct {
 	address    string
-	copiesLeft int // copies that it may still be asked for
-	since      time.Time
+	copiesLeft int       // copies that it may still be asked to send
+	assignedAt time.Time // when its own copy was assigned
 }
 
-// current returns the packed entries of a history; false: they are not known.
+// current returns the packed entries of a history; false: not every entry is known.
 func (c *snapshotCopies) current(h *history, now time.Time) (SnapshotReply, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,19 +153,19 @@
 }
 
 // assignSource chooses the sender of the next copy of a size: this daemon (empty) while its own
-// link can carry it within the window, otherwise the first source that has copies left. If none
-// has, this daemon sends it too.
+// link can carry the copy within the window, otherwise the first source that has copies left, or
+// this daemon if no source has any.
 func (c *snapshotCopies) assignSource(r SnapshotRequest, linkMbps float64, size int, now time.Time) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Sub(c.windowStart) >= copyWindow {
-		c.windowStart, c.sent = now, 0
+		c.windowStart, c.ownCopies = now, 0
 	}
-	for len(c.sources) > 0 && (c.sources[0].copiesLeft <= 0 || now.Sub(c.sources[0].since) > sourceValidFor) {
+	for len(c.sources) > 0 && (c.sources[0].copiesLeft <= 0 || now.Sub(c.sources[0].assignedAt) > sourceValidFor) {
 		c.sources = c.sources[1:]
 	}
 	from := ""
-	if c.sent >= copiesPerWindow(linkMbps, size) {
+	if c.ownCopies >= copiesPerWindow(linkMbps, size) {
 		for i := range c.sources {
 			if s := &c.sources[i]; s.copiesLeft > 0 && s.address != r.Address {
 				s.copiesLeft--
@@ -174,7 +175,7 @@
 		}
 	}
 	if from == "" {
-		c.sent++
+		c.ownCopies++
 	}
 	c.sources = append(c.sources, source{r.Address, copiesPerWindow(r.LinkMbps, size), now})
 	return from
@@ -195,14 +196,14 @@
 }
 
 // fetchSnapshot gets all entries from the zone's relay, or from the daemon that it names.
-// errNoSnapshot: this daemon is the relay, the fleet is small enough to list, or no daemon had
-// the entries in time.
+// errNoSnapshot: this daemon is the relay, the fleet is small enough to list, the relay is of an
+// earlier version, or no daemon sent the entries in time.
 func (n *Node) fetchSnapshot(ctx context.Context) (objectapi.Listing, error) {
 	began := n.now()
 	n.starting = true
 	defer func() { n.starting = false }()
 	for end := began.Add(n.opts.Uniform(minSnapshotTime, maxSnapshotTime)); ctx.Err() == nil && n.now().Before(end); {
-		if n.relayAddress == "" && !n.now().Before(n.nextLookAt) {
+		if n.relayAddress == "" && !n.now().Before(n.nextSearchAt) {
 			n.readRecords(ctx)
 		}
 		if n.isRelay.Load() || !n.distributeSnapshots.Load() {
@@ -226,8 +227,8 @@
 				return objectapi.Listing{}, err
 			case n.relayAddress != "" && !isRelayAnswer(err):
 				n.dropRelay(err)
-			case n.relayAddress != "" && n.now().Sub(n.relayUsedSince) > minSettle:
-				n.relayAddress, n.nextLookAt = "", n.now() // another daemon may have taken its place
+			case n.relayAddress != "" && n.now().Sub(n.relayUsedSince) > minSearchDelay:
+				n.relayAddress, n.nextSearchAt = "", n.now() // another daemon may have replaced the relay
 			}
 		}
 		pause.For(ctx, snapshotRetryInterval)
@@ -260,11 +261,12 @@
 	return changes, nil
 }
 
-// isRelayAnswer reports whether an error is another daemon's answer.
+// isRelayAnswer reports whether an error is the answer of a daemon that does not know the entries
+// yet.
 func isRelayAnswer(err error) bool { return errors.Is(err, errOutOfTouch) }
 
-// askSnapshot asks a relay for all entries, and the daemon that it names. errOutOfTouch: the
-// relay answers, but does not know them yet.
+// askSnapshot asks a relay for all entries, and then the daemon that the relay names.
+// errOutOfTouch: the relay answers, but does not know the entries yet.
 func (n *Node) askSnapshot(ctx context.Context, relay string) (objectapi.Listing, error) {
 	r := SnapshotRequest{Address: n.opts.Address, LinkMbps: n.opts.LinkMbps}
 	reply, err := n.callSnapshot(ctx, relay, r)
--- a/internal/relay/snapshot_test.go
+++ b/internal/relay/snapshot_test.go
@@ -34,7 +34,7 @@
 	must.Eq(t, "", c.assignSource(SnapshotRequest{Address: "d0", LinkMbps: 20}, 0, size, start))
 	must.Eq(t, "", c.assignSource(SnapshotRequest{Address: "d1", LinkMbps: 20}, 0, size, start))
 	must.Eq(t, "d0", c.assignSource(SnapshotRequest{Address: "d2", LinkMbps: 20}, 0, size, start))
-	c.windowStart, c.sent = start.Add(2*sourceValidFor), 2 // this daemon's own copies in the window are spent
+	c.windowStart, c.ownCopies = start.Add(2*sourceValidFor), 2 // this daemon's own copies in the window are spent
 	must.Eq(t, "", c.assignSource(SnapshotRequest{Address: "d3", LinkMbps: 20}, 0, size, start.Add(2*sourceValidFor)))
 }
 
@@ -105,7 +105,7 @@
 }
 
 // Guards against a relay that does not notice its replacement for up to 20 s and meanwhile
-// keeps a separate count of what its zone pools.
+// counts its zone's pooled retries apart from the new relay.
 func TestReplacedRelayNoticesNewRecord(t *testing.T) {
 	z := newZone(2)
 	z.stepAll(t, 6)
@@ -137,19 +137,19 @@
 	must.Eq(t, 9, s.Revision)
 }
 
-// Daemons of an earlier version don't know snapshots: a daemon that starts lists from the store
-// at once and does not replace a working relay.
+// Daemons of an earlier version have no snapshots: a daemon that starts beside such a relay lists
+// from the store at once and does not replace the relay.
 func TestStartWithRelayOfEarlierVersion(t *testing.T) {
 	z := newZone(2)
 	z.stepAll(t, 6)
-	n := z.node(z.daemons[0])
+	n := z.newNode(z.daemons[0])
 	n.distributeSnapshots.Store(true)
 	n.relayAddress = "old"
 	n.opts.Peers = earlierVersion{z}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err := n.fetchSnapshot(ctx)
-	must.NoError(t, ctx.Err(), must.Sprint("at once"))
+	must.NoError(t, ctx.Err(), must.Sprint("the start must not wait"))
 	must.ErrorIs(t, err, errNoSnapshot)
 	must.Eq(t, "old", n.relayAddress)
 }
--- a/internal/relay/stalled.go
+++ b/internal/relay/stalled.go
@@ -13,7 +13,7 @@
 	// maxReported is how many instances a daemon may report at a time. A daemon for which more
 	// are stalled is probably cut off itself, and reports none.
 	maxReported = 8
-	// reportValidFor is how long a report counts: a daemon sends one with each of its calls,
+	// reportValidFor is how long a report counts. A daemon sends a report with each of its calls,
 	// several a second.
 	reportValidFor = time.Second
 )
@@ -36,13 +36,13 @@
 
 // report is the last report of one daemon.
 type report struct {
-	stalled []string
-	at      time.Time
+	stalled    []string
+	receivedAt time.Time
 }
 
 func newReports() *reports { return &reports{byDaemon: map[string]report{}} }
 
-// note records a daemon's report.
+// note records a daemon's report. One of more than maxReported instances counts as empty.
 func (r *reports) note(from string, stalled []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,31 +56,31 @@
 func (r *reports) stalled(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.byDaemon, func(_ string, one report) bool { return now.Sub(one.at) > reportValidFor })
+	maps.DeleteFunc(r.byDaemon, func(_ string, last report) bool { return now.Sub(last.receivedAt) > reportValidFor })
 	all := map[string]bool{}
-	for _, one := range r.byDaemon {
-		for _, id := range one.stalled {
+	for _, last := range r.byDaemon {
+		for _, id := range last.stalled {
 			all[id] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
-// answerStalled answers the planner.
+// answerStalled answers the planner's survey.
 func (n *Node) answerStalled(context.Context) (StalledReply, error) {
 	now := n.now()
 	n.reports.note(n.opts.Holder, n.opts.Standing(now), now)
 	return StalledReply{n.reports.stalled(now)}, nil
 }
 
-// Survey asks the relays of all zones for stalled instances. Run serves the planner, whose own
-// requests show only a part.
+// Survey asks the relays of all zones for stalled instances, for the planner: its own requests
+// show only some of the stalls.
 type Survey struct {
 	Relays func(ctx context.Context) ([]string, error) // returns their addresses
 	Ask    func(ctx context.Context, address string) (StalledReply, error)
-	Active func() bool
+	Active func() bool // reports whether surveys are needed now
 	Now    func() time.Time
-	// News, if set, is signalled when a survey finds an instance that the previous one did not.
+	// News, if set, is signalled when a survey finds an instance that the previous survey did not.
 	News chan<- struct{}
 
 	mu      sync.Mutex
@@ -97,7 +97,7 @@
 	surveyListInterval = 5 * time.Second
 )
 
-// Found returns the instances found by the last survey, or nil if that is older than
+// Found returns the instances found by the last survey, or nil if that survey is older than
 // reportValidFor.
 func (s *Survey) Found(now time.Time) []string {
 	s.mu.Lock()
@@ -142,7 +142,7 @@
 	for i, address := range relays {
 		wait.Go(func() {
 			if r, err := s.Ask(ctx, address); err == nil {
-				replies[i] = r // a relay that does not answer is replaced by its zone
+				replies[i] = r // a relay that does not answer is skipped: its zone replaces it
 			}
 		})
 	}
--- a/internal/relay/stalled_test.go
+++ b/internal/relay/stalled_test.go
@@ -18,7 +18,7 @@
 	must.Eq(t, []string{"x", "y"}, r.stalled(start.Add(reportValidFor)))
 	must.SliceEmpty(t, r.stalled(start.Add(reportValidFor+1)))
 	r.note("a", []string{"x"}, start)
-	r.note("a", nil, start) // its streams make progress again
+	r.note("a", nil, start) // the streams of a make progress again
 	must.SliceEmpty(t, r.stalled(start))
 }
 
@@ -60,7 +60,7 @@
 	must.SliceEmpty(t, r.Instances)
 }
 
-// The planner is signalled at once for what a survey finds newly, and only once.
+// The planner is signalled at once, and only once, for an instance that a survey newly finds.
 func TestSurveySignalsNewInstances(t *testing.T) {
 	changed := make(chan struct{}, 1)
 	found := []string{"x"}
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	stale       = 2 * time.Second
+	staleAfter  = 2 * time.Second
 	entriesKind = "entries"
 	recordKey   = "relays/zone"
 )
@@ -28,9 +28,9 @@
 	entries       []objectapi.Event // all changes, by revision
 	config        []configChange
 	record        objectapi.Object
-	floor         uint64 // changes up to it are compacted
-	down          bool
-	longestDelays bool            // random delays take their maximum
+	compactedUpTo uint64 // changes up to it are compacted
+	storeDown     bool
+	longestDelays bool            // random delays take their maximum, otherwise their minimum
 	staleLag      uint64          // revisions that a stale read lags
 	follows       map[*daemon]int // calls of Follow that reached the store
 	lists         int             // listings at full cost
@@ -53,85 +53,85 @@
 	zone       *zone
 	name       string
 	dead       bool
-	cutOff     bool // from the store
-	state      map[string]uint64
-	at         uint64    // revision
-	provedAt   time.Time // of state
-	listed     bool
-	listedOnce bool // it listed since its last restart
+	cutOff     bool              // from the store
+	state      map[string]uint64 // versions of entries, by key
+	revision   uint64            // revision
+	provedAt   time.Time         // of state
+	listed     bool              // false: it must list next
+	listedOnce bool              // it has listed since its last restart
 	planner    bool
 	// Instances that are stalled for it.
 	stalledInstances []string
 	// What its requests share with the zone.
-	spare         map[string]float64
-	inFlight      map[string]int
-	others        map[string]int
-	stalledGroups []fleet.Key
-	activeGroups  []fleet.Key
-	stalledForAll map[fleet.Key]bool // groups reported as stalled
-	reporters     int                // daemons that reported loads
+	spareRetries     map[string]float64
+	inFlight         map[string]int
+	othersInFlight   map[string]int
+	stalledGroups    []fleet.Key
+	activeGroups     []fleet.Key
+	stalledForAll    map[fleet.Key]bool // groups announced as stalled
+	reportingDaemons int                // daemons that reported loads
 	// The configuration as confirmed by other daemons.
-	version uint64
-	config  time.Time
+	configVersion  uint64
+	configProvedAt time.Time
 }
 
-var errDown = errors.WithType(errors.New("down"), objectapi.ErrUnavailable)
+var errStoreDown = errors.WithType(errors.New("down"), objectapi.ErrUnavailable)
 
 func newZone(daemons int) *zone {
 	z := &zone{now: start, follows: map[*daemon]int{}}
-	z.configure()
+	z.changeConfig()
 	for range daemons {
-		z.add()
+		z.addDaemon()
 	}
 	return z
 }
 
-func (z *zone) add() *daemon {
+func (z *zone) addDaemon() *daemon {
 	d := &daemon{zone: z, name: fmt.Sprint("d", len(z.daemons))}
-	d.Node = z.node(d)
+	d.Node = z.newNode(d)
 	z.daemons = append(z.daemons, d)
 	return d
 }
 
-func (z *zone) node(d *daemon) *Node {
+func (z *zone) newNode(d *daemon) *Node {
 	d.state = map[string]uint64{}
 	return NewNode(Options{Store: &daemonStore{z: z, d: d}, Kind: entriesKind, Key: recordKey, Holder: fmt.Sprint(d.name, " ", z.revision, z.now),
-		Address: d.name, Peers: z, Stale: func() time.Duration { return stale }, Direct: func() bool { return d.planner },
-		Confirm:  func(version uint64, proved time.Time) { d.version, d.config = version, proved },
+		Address: d.name, Peers: z, Stale: func() time.Duration { return staleAfter }, Direct: func() bool { return d.planner },
+		Confirm:  func(version uint64, proved time.Time) { d.configVersion, d.configProvedAt = version, proved },
 		Standing: func(time.Time) []string { return d.stalledInstances },
 		Gate:     z.gate(),
 		Traffic: Traffic{
 			Spare: func(time.Time) map[string]float64 {
-				spare := d.spare
-				d.spare = nil
+				spare := d.spareRetries
+				d.spareRetries = nil
 				return spare
 			},
 			InFlight: func() map[string]int { return d.inFlight },
-			Progress: func(time.Time) (stopped, alive []fleet.Key) { return d.stalledGroups, d.activeGroups },
+			Progress: func(time.Time) (stalled, active []fleet.Key) { return d.stalledGroups, d.activeGroups },
 			Loaded: func(others dispatch.Others, _ time.Time) {
-				d.others, d.stalledForAll, d.reporters = others.InFlight, others.Standing, others.Daemons
+				d.othersInFlight, d.stalledForAll, d.reportingDaemons = others.InFlight, others.Standing, others.Daemons
 			},
 			Rule: func() dispatch.PoolRule { return dispatch.PoolRule{} },
 		},
-		Uniform: func(least, most time.Duration) time.Duration {
+		Uniform: func(low, high time.Duration) time.Duration {
 			if z.longestDelays {
-				return most
+				return high
 			}
-			return least
+			return low
 		},
 		Now: func() time.Time { return z.now }, Log: zap.NewNop()})
 }
 
 // gate returns a gate that knows of no limit.
 func (z *zone) gate() *backpressure.Gate {
-	least := func(least, _ time.Duration) time.Duration { return least }
-	return backpressure.NewGate(func() int { return len(z.daemons) }, least, zap.NewNop())
+	shortest := func(low, _ time.Duration) time.Duration { return low }
+	return backpressure.NewGate(func() int { return len(z.daemons) }, shortest, zap.NewNop())
 }
 
 // restart replaces a daemon's process by a new one.
 func (d *daemon) restart() {
-	d.dead, d.listed, d.listedOnce, d.at, d.provedAt, d.config = false, false, false, 0, time.Time{}, time.Time{}
-	d.Node = d.zone.node(d)
+	d.dead, d.listed, d.listedOnce, d.revision, d.provedAt, d.configProvedAt = false, false, false, 0, time.Time{}, time.Time{}
+	d.Node = d.zone.newNode(d)
 }
 
 // advance moves the clock.
@@ -144,7 +144,7 @@
 	z.entries = append(z.entries, e)
 }
 
-func (z *zone) configure() {
+func (z *zone) changeConfig() {
 	z.revision++
 	z.config = append(z.config, configChange{z.revision, z.now})
 }
@@ -168,7 +168,7 @@
 	}
 	ctx := context.Background()
 	asked := d.zone.now
-	if d.relaying() && !d.zone.down && !d.cutOff {
+	if d.isActiveRelay() && !d.zone.storeDown && !d.cutOff {
 		d.NoteConfig(d.zone.configAt(asked), asked)
 	}
 	if !d.listed {
@@ -184,14 +184,14 @@
 		for _, o := range l.Objects {
 			d.state[o.Key] = o.Version
 		}
-		d.at, d.listed = l.Revision, true
+		d.revision, d.listed = l.Revision, true
 		if d.listedOnce {
 			d.provedAt = asked
 		}
 		d.listedOnce = true
 		return nil
 	}
-	c, err := d.Follow(ctx, entriesKind, d.at, time.Second)
+	c, err := d.Follow(ctx, entriesKind, d.revision, time.Second)
 	if errors.Is(err, objectapi.ErrCompacted) {
 		d.listed = false
 		return nil
@@ -203,7 +203,7 @@
 		applyEvent(d.state, e)
 	}
 	if len(c.Events) > 0 {
-		d.at = max(d.at, c.Revision)
+		d.revision = max(d.revision, c.Revision)
 	}
 	if at := asked.Add(-c.Age); at.After(d.provedAt) {
 		d.provedAt = at
@@ -291,19 +291,19 @@
 	d *daemon
 }
 
-func (s *daemonStore) reached() bool { return !s.z.down && !s.d.cutOff }
+func (s *daemonStore) reachable() bool { return !s.z.storeDown && !s.d.cutOff }
 
 func (s *daemonStore) Get(_ context.Context, _ string) (objectapi.Object, error) {
 	switch {
-	case !s.reached():
-		return objectapi.Object{}, errDown
+	case !s.reachable():
+		return objectapi.Object{}, errStoreDown
 	case s.z.record.Version == 0:
 		return objectapi.Object{}, objectapi.ErrNotFound
 	}
 	return s.z.record, nil
 }
 
-// records lists the zones' records: there is at most one.
+// records lists the zones' records, of which there is at most one.
 func (s *daemonStore) records(ctx context.Context) (objectapi.Listing, error) {
 	o, err := s.Get(ctx, "")
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -317,8 +317,8 @@
 }
 
 func (s *daemonStore) ListKind(ctx context.Context, kind string) (objectapi.Listing, error) {
-	if !s.reached() {
-		return objectapi.Listing{}, errDown
+	if !s.reachable() {
+		return objectapi.Listing{}, errStoreDown
 	}
 	if kind != entriesKind {
 		return s.records(ctx)
@@ -330,8 +330,8 @@
 // ListStale answers with a lag of staleLag, and the revision of the latest change that it
 // shows.
 func (s *daemonStore) ListStale(_ context.Context, _ string) (objectapi.Listing, error) {
-	if !s.reached() {
-		return objectapi.Listing{}, errDown
+	if !s.reachable() {
+		return objectapi.Listing{}, errStoreDown
 	}
 	s.z.staleLists++
 	l := s.z.listing(s.z.revision - min(s.z.staleLag, s.z.revision))
@@ -366,11 +366,11 @@
 
 func (s *daemonStore) Follow(_ context.Context, _ string, after uint64, wait time.Duration) (objectapi.Changes, error) {
 	s.z.lastWait = wait
-	if !s.reached() {
-		return objectapi.Changes{}, errDown
+	if !s.reachable() {
+		return objectapi.Changes{}, errStoreDown
 	}
 	s.z.follows[s.d]++
-	if after < s.z.floor {
+	if after < s.z.compactedUpTo {
 		return objectapi.Changes{}, objectapi.ErrCompacted
 	}
 	c := objectapi.Changes{Revision: s.z.revision}
@@ -391,8 +391,8 @@
 }
 
 func (s *daemonStore) write(version uint64, value []byte) (uint64, error) {
-	if !s.reached() {
-		return 0, errDown
+	if !s.reachable() {
+		return 0, errStoreDown
 	}
 	s.z.writes++
 	if s.z.record.Version != version {
