--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,6 @@
 // Package link opens TCP connections that detect a silent link: an open connection can stop
-// carrying data without a reset while new ones work. Only the kernel's own timers detect this
-// where no caller bounds the wait.
+// carrying data without a reset while new connections still work. Where no caller bounds the
+// wait, only the kernel's own timers detect this.
 package link
 
 import (
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Timeouts after which a silent link closes a connection.
+// Timeouts after which a connection over a silent link is closed.
 const (
-	// unackedTimeout is how long sent bytes may stay unacknowledged. Links within a region take
-	// milliseconds, a lost packet some hundred. A caller's first event is late by then, but its
-	// request can continue on another connection.
+	// unackedTimeout is how long sent bytes may stay unacknowledged. Within a region a round trip
+	// takes milliseconds, and one with a lost packet some hundred. After the timeout a caller's
+	// first event is late, but the request can continue on another connection.
 	unackedTimeout = 1500 * time.Millisecond
 	// An idle connection is probed after keepAliveIdle, then every keepAliveInterval, and closed
 	// after keepAliveProbes without an answer: two seconds in all.
@@ -25,8 +25,8 @@
 	keepAliveProbes   = 2
 )
 
-// Dialer returns a dialer of such connections; timeout bounds the connection setup, 0: only the
-// context bounds it.
+// Dialer returns a dialer of such connections. timeout bounds the connection setup; with 0, only
+// the context does.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -35,7 +35,7 @@
 	}
 }
 
-// setUnackedTimeout applies unackedTimeout to a socket.
+// setUnackedTimeout applies unackedTimeout to a socket that is about to connect.
 func setUnackedTimeout(_ context.Context, _, _ string, c syscall.RawConn) error {
 	var setErr error
 	err := c.Control(func(fd uintptr) {
