--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -179,12 +179,12 @@
 	// loggedOutOfTouch is set once it was logged that the suspect answers but does not reach the
 	// store.
 	loggedOutOfTouch  bool
-	storeReachedSince time.Time // since when the store has answered all of this daemon's own calls; zero: it does not
+	storeReachedSince time.Time // since when, counted anew after a relay is lost, the store has answered all own calls; zero: not yet
 	configSeq         uint64    // of the last configuration read that the relay sent
 	provedAt          time.Time // time of the newest proof from the relay; zero: none yet
 	nextSearchAt      time.Time // when findRelay next asks the suspect or reads the record
 	startDelayDone    bool      // the random delay of the first search is over, or was not needed
-	starting          bool      // the entries are not known yet
+	starting          bool      // fetchSnapshot runs: the entries are not known yet
 	relayUsedSince    time.Time // since when relayAddress is the relay
 }
 
