--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -1,31 +1,31 @@
 package dispatch
 
-// maxSends bounds the tries of one request, those included that never left.
+// maxSends bounds the sends of one request, including those that failed before leaving.
 const maxSends = 4
 
-// Attempts counts to how many instances one request of a caller was sent. The route
-// bounds those that may have run it. The zero value has made none.
+// Attempts counts the sends of one request. The route limits how many instances may have run
+// it. The zero value is ready to use.
 type Attempts struct {
-	sends   int // tries, those included that never left
-	reached int // instances that may have run it
+	sends   int // including those that failed before leaving
+	reached int // instances that may have run the request
 }
 
 // Try counts a send that is about to be made.
 func (a *Attempts) Try() { a.sends++ }
 
-// Reached counts that an instance may have run the request.
+// Reached counts an instance that may have run the request.
 func (a *Attempts) Reached() { a.reached++ }
 
-// NotRun takes back the last instance reached, which has said that it did not run the
-// request. It serves requests that an instance before may have run: they can't be refused as
-// not run, and would be lost where two replicas end one after the other.
+// NotRun undoes the last Reached, after the instance reported that it did not run the request.
+// It matters once an earlier instance may have run it: such a request can't be refused as not
+// run, and would fail when two replicas stop one after the other.
 func (a *Attempts) NotRun() { a.reached-- }
 
-// Repeated tells whether another send would be a repeat.
+// Repeated reports whether another send would be a repeat.
 func (a *Attempts) Repeated() bool { return a.reached > 0 }
 
-// Spent tells whether no other send may be made; limit is the route's.
+// Spent reports whether no further send may be made; limit is that of the route.
 func (a *Attempts) Spent(limit int) bool { return a.reached >= limit || a.sends >= maxSends }
 
-// Last tells whether the send under way is the last one that the route allows.
+// Last reports whether the current send is the last one that the route allows.
 func (a *Attempts) Last(limit int) bool { return a.reached+1 >= limit }
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -6,10 +6,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Load: engines are replaced one after the other, and a stream's second replica ends
-// before it has run it. A route of two attempts leaves it a third send, as only one
-// instance has run it; two that have are the end, and so are four sends.
-func TestSendThatDidNotRunIsNoAttempt(t *testing.T) {
+// Engines are replaced one after the other, and a stream's second replica stops before it has
+// run the stream. A route of two attempts allows a third send, as only one instance has run it.
+// Two instances that have run it are the limit, and so are four sends.
+func TestSendThatDidNotRunIsNotAnAttempt(t *testing.T) {
 	const limit = 2
 	var a Attempts
 	reach := func() { a.Try(); a.Reached() }
@@ -28,7 +28,7 @@
 	must.True(t, a.Spent(limit), must.Sprint("four sends"))
 }
 
-func TestSendsThatNeverLeftAreBounded(t *testing.T) {
+func TestFailedSendsAreBounded(t *testing.T) {
 	var a Attempts
 	for range maxSends {
 		must.False(t, a.Spent(2))
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -12,7 +12,7 @@
 
 var testRule = BudgetRule{Ratio: 0.2, Window: 10 * time.Second}
 
-// A process that begins has earned nothing: the one before it may have spent all.
+// A new process has no credit: its predecessor may have spent all of it.
 func TestBudgetStartsEmpty(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
@@ -26,7 +26,7 @@
 	must.False(t, b.Repeat(testRule, now))
 }
 
-func TestRepeatThatWasNotMadeIsGivenBack(t *testing.T) {
+func TestUnusedRepeatIsRefunded(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
 	for range 6 {
@@ -38,9 +38,9 @@
 	must.Eq(t, left, b.Left(testRule, now))
 }
 
-// Load: 30 requests a second, and at one moment a domain of instances is gone, with a
-// quarter of the requests in progress. All of them may be sent again.
-func TestBudgetBearsTheLossOfADomain(t *testing.T) {
+// 30 requests a second, and a domain of instances fails at once with a quarter of the requests
+// in flight. All of these may be resent.
+func TestBudgetCoversDomainLoss(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	for range 300 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Load: a request in three seconds. What one repeat takes is saved up.
-func TestBudgetOfAQuietServiceAllowsARepeat(t *testing.T) {
+// One request in three seconds: credit for one repeat is kept.
+func TestBudgetOfLowTrafficServiceAllowsRepeat(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	slow := BudgetRule{Ratio: 0.5, Window: testRule.Window}
@@ -65,9 +65,9 @@
 	must.False(t, b.Repeat(slow, now))
 }
 
-// Whatever it is that ends processes, and how often: one daemon's repeats in a window are
-// within the share of its requests in that window, but for what was saved before it.
-func TestBudgetBoundsAllLivesOfADaemon(t *testing.T) {
+// However often the process restarts, the repeats of one daemon in a window stay within the share
+// of its requests in that window, plus what was accrued before it.
+func TestBudgetHoldsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b, now, end := NewBudget(), time.Unix(1000, 0), time.Unix(1000, 0).Add(testRule.Window)
 		saved := 1.0
@@ -96,36 +96,36 @@
 	})
 }
 
-// What was not spent in a window must not be spent in a later one: saved up
-// repeats broke the shared budget on a hunted day.
-func TestBudgetKeepsEveryWindow(t *testing.T) {
+// Credit not spent in a window must not be spent in a later one: accrued repeats once exceeded
+// the shared budget.
+func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := NewBudget()
 		now := time.Unix(1000, 0)
-		type moment struct {
+		type event struct {
 			at      time.Time
 			request bool
 		}
-		var log []moment
+		var events []event
 		for range rapid.IntRange(10, 400).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(r, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(r, "request") {
 				b.Request(testRule, now)
-				log = append(log, moment{now, true})
+				events = append(events, event{now, true})
 			} else if b.Repeat(testRule, now) {
-				log = append(log, moment{now, false})
+				events = append(events, event{now, false})
 			}
 		}
 		count := func(end time.Time, request bool) (n int) {
-			for _, m := range log {
+			for _, m := range events {
 				if m.request == request && !m.at.After(end) && !m.at.Before(end.Add(-testRule.Window)) {
 					n++
 				}
 			}
 			return n
 		}
-		// When a repeat is made, the exact window that ends then holds its share.
-		for _, m := range log {
+		// At each repeat, the exact window that ends with it is within its share.
+		for _, m := range events {
 			repeats, requests := count(m.at, false), count(m.at, true)
 			if !m.request && float64(repeats) > testRule.Ratio*float64(requests) {
 				r.Fatalf("%d repeats for %d requests", repeats, requests)
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestBudgetOfAnEarlierWindowIsGone(t *testing.T) {
+func TestBudgetExpiresWithWindow(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	for range 1000 {
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -6,69 +6,69 @@
 	"pearlanding/internal/fleet"
 )
 
-// Parameters of the choice where other daemons' loads are told.
+// Parameters of the choice where loads of other daemons are known.
 const (
-	// toldFor is how long what was told counts; it comes four times a second.
-	toldFor = 3 * time.Second
-	// toldZonePenalty is that of another zone, in requests, where loads are known: above
-	// the noise of what is told, so that a zone's requests stay there while its replicas
-	// are about as busy as others'.
-	toldZonePenalty = 1.5
+	// loadTTL is how long received loads are used; they arrive four times a second.
+	loadTTL = 3 * time.Second
+	// knownLoadZonePenalty is the penalty of another zone, in requests, where loads are known. It
+	// exceeds the error of the received loads, so that requests stay in their zone while its
+	// replicas are about as busy as others.
+	knownLoadZonePenalty = 1.5
 )
 
-// fewDaemons is up to how many daemons each knows its replicas' load best by its own
-// requests.
-const fewDaemons = 16
+// ownLoadDaemons is the number of daemons up to which a daemon's own requests are the best
+// estimate of its replicas' load.
+const ownLoadDaemons = 16
 
-// Others is what all other daemons told.
+// Others is what the other daemons reported.
 type Others struct {
-	Daemons  int                // that told, this one included
-	InFlight map[string]int     // their requests in progress, by instance
-	Standing map[fleet.Key]bool // groups that stand still for several, and bring nobody events
+	Daemons  int                // that reported, including this one
+	InFlight map[string]int     // requests of the other daemons, by instance
+	Standing map[fleet.Key]bool // groups stalled for several daemons and making progress for none
 }
 
-// Loaded takes in what all other daemons told, as of now. It must not be changed afterwards.
+// Loaded stores what the other daemons reported, as of now. The caller must not change it afterwards.
 func (p *Picker) Loaded(others Others, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.others, p.toldAt = others, now
+	p.others, p.othersAt = others, now
 }
 
-// standingFor is how long others' word that a group stands still counts.
-const standingFor = time.Second
+// stallReportTTL is how long other daemons' report of a stalled group is used.
+const stallReportTTL = time.Second
 
-// toldStanding tells whether others say that a target's group stands still. p.mu is held.
-// Alone, a daemon has no other stream there that would show it, and waits for longer than the
-// objective.
-func (p *Picker) toldStanding(t *Target, now time.Time) bool {
-	return now.Sub(p.toldAt) < standingFor && p.others.Standing[t.Group]
+// reportedStalled reports whether other daemons found the target's group stalled. p.mu is held.
+// A daemon without another stream there can't see it by itself and would wait for longer than
+// the objective.
+func (p *Picker) reportedStalled(t *Target, now time.Time) bool {
+	return now.Sub(p.othersAt) < stallReportTTL && p.others.Standing[t.Group]
 }
 
-// Progress returns the groups whose running streams stopped for this daemon lately, and
-// those whose bring events.
-func (p *Picker) Progress(now time.Time) (stopped, alive []fleet.Key) {
+// Progress returns the groups whose running streams stalled recently at this daemon, and those
+// whose running streams make progress.
+func (p *Picker) Progress(now time.Time) (stalled, alive []fleet.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.records {
 		switch {
 		case r.group == fleet.Key{}:
-		case r.stopped(now):
-			stopped = append(stopped, r.group)
+		case r.stalledRecently(now):
+			stalled = append(stalled, r.group)
 		case r.alive(now):
 			alive = append(alive, r.group)
 		}
 	}
-	return stopped, alive
+	return stalled, alive
 }
 
-// InFlight returns this daemon's requests in progress, by instance.
+// InFlight returns this daemon's requests in flight, by instance.
 func (p *Picker) InFlight() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]int, len(p.records))
-	for of, r := range p.records {
+	for id, r := range p.records {
 		if r.inFlight > 0 {
-			out[of.instance] += r.inFlight
+			out[id.instance] += r.inFlight
 		}
 	}
 	return out
@@ -80,50 +80,50 @@
 	own    float64
 }
 
-// candidates returns the targets among which the choice is made: all that were not tried,
-// or, where others' loads are known, two of those that stand well: the least loaded by this
-// daemon's own requests and one by chance. What is told is nearly as old as a stream lasts; if
-// each daemon took the least loaded of many by it, hundreds would send to the same one until
-// the next word. The result is valid until the next call. p.mu is held.
+// candidates returns the targets to choose among: all that were not tried or, where loads of
+// other daemons are known, two of the healthy ones: the least loaded by this daemon's own requests
+// and a random one. Received loads are nearly as old as a stream lasts; if each daemon took the
+// least loaded of many by them, hundreds would send to the same one until the next report. The
+// result is valid until the next call. p.mu is held.
 func (p *Picker) candidates(targets []Target, tried map[string]bool, now time.Time) []scoredTarget {
-	all, well := p.all[:0], p.well[:0]
-	told := p.told(now)
+	all, healthy := p.all[:0], p.healthy[:0]
+	known := p.loadsKnown(now)
 	for i := range targets {
 		t := &targets[i]
 		if tried[t.Instance] {
 			continue
 		}
-		r := p.records[t.life()]
+		r := p.records[t.incarnation()]
 		s := scoredTarget{t, p.ownScore(t, r, now)}
 		all = append(all, s)
-		if told && p.standsWell(t, r, now) {
-			well = append(well, s)
+		if known && p.isHealthy(t, r, now) {
+			healthy = append(healthy, s)
 		}
 	}
-	p.all, p.well = all, well
-	if len(well) == 0 {
+	p.all, p.healthy = all, healthy
+	if len(healthy) == 0 {
 		return all
 	}
-	own := p.least(well, func(s *scoredTarget) float64 { return s.own })
-	p.pair = [2]scoredTarget{*own, well[p.uniform(len(well))]}
+	own := p.lowestScore(healthy, func(s *scoredTarget) float64 { return s.own })
+	p.pair = [2]scoredTarget{*own, healthy[p.uniform(len(healthy))]}
 	return p.pair[:]
 }
 
-// told tells whether others' requests in progress count. p.mu is held.
-func (p *Picker) told(now time.Time) bool {
-	return now.Sub(p.toldAt) < toldFor && p.others.Daemons > fewDaemons
+// loadsKnown reports whether the other daemons' requests in flight are used. p.mu is held.
+func (p *Picker) loadsKnown(now time.Time) bool {
+	return now.Sub(p.othersAt) < loadTTL && p.others.Daemons > ownLoadDaemons
 }
 
-// standsWell tells whether nothing is known against a target. p.mu is held.
-func (p *Picker) standsWell(t *Target, r *record, now time.Time) bool {
-	if r != nil && (r.still(now) || now.Before(r.suspectUntil)) {
+// isHealthy reports whether a target is neither stalled nor suspect. p.mu is held.
+func (p *Picker) isHealthy(t *Target, r *record, now time.Time) bool {
+	if r != nil && (r.stalled(now) || now.Before(r.suspectUntil)) {
 		return false
 	}
-	return !p.toldStanding(t, now) || r != nil && r.alive(now)
+	return !p.reportedStalled(t, now) || r != nil && r.alive(now)
 }
 
-// least returns the one with the least score, one by chance of those that share it.
-func (p *Picker) least(of []scoredTarget, score func(*scoredTarget) float64) *scoredTarget {
+// lowestScore returns a target of the lowest score, ties broken at random.
+func (p *Picker) lowestScore(of []scoredTarget, score func(*scoredTarget) float64) *scoredTarget {
 	ties := p.ties[:0]
 	var best float64
 	for i := range of {
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -11,21 +11,21 @@
 	"pearlanding/internal/fleet"
 )
 
-// choosers is a load of many daemons before replicas that take so many streams at once and
-// queue as many more.
-type choosers struct {
+// pickerLoad is a load of many daemons on replicas that run this many streams at once and queue
+// as many more.
+type pickerLoad struct {
 	daemons, replicas, zones int
 	perSecond                float64
-	lasts                    time.Duration // a stream
-	told                     time.Duration // age of what daemons know of each other; 0: they know nothing
-	down                     int           // replicas of the first zone that are gone
-	places                   int
+	streamTime               time.Duration // mean duration of a stream
+	reportAge                time.Duration // age of the loads that daemons exchange; 0: none are exchanged
+	down                     int           // replicas of the first zone that are down
+	slots                    int
 }
 
-// play returns how many of the streams met a full replica, and the part that was sent to
-// another zone.
-func (c choosers) play() (full, sent, far int) {
-	chance := rand.New(rand.NewPCG(3, 4))
+// simulate returns how many streams met a full replica, how many were sent, and how many of them
+// went to another zone.
+func (c pickerLoad) simulate() (full, sent, remote int) {
+	rng := rand.New(rand.NewPCG(3, 4))
 	pickers := make([]*Picker, c.daemons)
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%c.zones) }
 	var targets []Target
@@ -35,7 +35,7 @@
 		}
 	}
 	for i := range pickers {
-		pickers[i] = NewPicker(zoneOf(i), chance.IntN)
+		pickers[i] = NewPicker(zoneOf(i), rng.IntN)
 	}
 	busy := map[string]int{}
 	type stream struct {
@@ -44,22 +44,22 @@
 		ends time.Duration
 	}
 	var streams []stream
-	lastTold := time.Duration(0)
+	lastReport := time.Duration(0)
 	gap := time.Duration(float64(time.Second) / c.perSecond)
 	for at := time.Duration(0); at < 8*time.Second; at += gap {
 		now := t0.Add(at)
-		rest := streams[:0]
+		running := streams[:0]
 		for _, s := range streams {
 			if s.ends > at {
-				rest = append(rest, s)
+				running = append(running, s)
 				continue
 			}
 			busy[s.t.Instance]--
 			s.p.Done(s.t)
 		}
-		streams = rest
-		if c.told > 0 && at-lastTold >= c.told {
-			lastTold = at
+		streams = running
+		if c.reportAge > 0 && at-lastReport >= c.reportAge {
+			lastReport = at
 			sum := map[string]int{}
 			for _, p := range pickers {
 				for id, n := range p.InFlight() {
@@ -75,61 +75,59 @@
 				p.Loaded(Others{Daemons: c.daemons, InFlight: others}, now)
 			}
 		}
-		d := chance.IntN(c.daemons)
+		d := rng.IntN(c.daemons)
 		p := pickers[d]
 		t := p.Pick(targets, nil, now)
 		if at > 2*time.Second {
 			sent++
 			if t.Zone != zoneOf(d) {
-				far++
+				remote++
 			}
-			if busy[t.Instance] >= c.places {
+			if busy[t.Instance] >= c.slots {
 				full++
 			}
 		}
 		busy[t.Instance]++
-		streams = append(streams, stream{t, p, at + c.lasts/2 + time.Duration(chance.Int64N(int64(c.lasts)))})
+		streams = append(streams, stream{t, p, at + c.streamTime/2 + time.Duration(rng.Int64N(int64(c.streamTime)))})
 	}
-	return full, sent, far
+	return full, sent, remote
 }
 
-// What happened: 295 daemons with one or two streams each chose the least loaded replica by
-// their own streams, by chance in effect: engines rejected 5 to 15 of 100 arrivals, and the
-// busiest ran 9 times the mean. Why: each sees a 295th of a replica's load. What settled it:
-// "busiest/mean" of 9.4 on a quiet day, with places free elsewhere.
+// Guards against random choice in effect: 295 daemons with one or two streams each chose the least
+// loaded replica by their own streams, though each sees a 295th of a replica's load. Engines
+// rejected 5 to 15 of 100 arrivals, and the busiest ran 9.4 times the mean with capacity free
+// elsewhere.
 //
-// Load: 900 streams of a second, what is told 0.4 s old, before 95 replicas of 14 places; and the same with
-// half of one zone's replicas gone.
-func TestToldLoadsSpreadTheStreamsOfManyDaemons(t *testing.T) {
-	load := choosers{daemons: 295, replicas: 95, zones: 5, perSecond: 900, lasts: time.Second, places: 14}
-	for name, down := range map[string]int{"all there": 0, "half of a zone is gone": 9} {
+// 900 streams of a second, reports 0.4 s old, 95 replicas of 14 slots; and the same with half of one
+// zone's replicas down.
+func TestReportedLoadsSpreadStreamsOfManyDaemons(t *testing.T) {
+	load := pickerLoad{daemons: 295, replicas: 95, zones: 5, perSecond: 900, streamTime: time.Second, slots: 14}
+	for name, down := range map[string]int{"all up": 0, "half of a zone is down": 9} {
 		t.Run(name, func(t *testing.T) {
 			load := load
 			load.down = down
-			alone, _, _ := load.play()
-			load.told = 400 * time.Millisecond
-			told, sent, far := load.play()
-			must.LessEq(t, alone/2, told, must.Sprint("met full replicas alone ", alone, ", told ", told, " of ", sent, ", to other zones ", far))
-			must.Less(t, sent/2, far)
+			withoutReports, _, _ := load.simulate()
+			load.reportAge = 400 * time.Millisecond
+			withReports, sent, remote := load.simulate()
+			must.LessEq(t, withoutReports/2, withReports, must.Sprint("met full replicas without reports ", withoutReports, ", with reports ", withReports, " of ", sent, ", to other zones ", remote))
+			must.Less(t, sent/2, remote)
 		})
 	}
 }
 
-// Load: seven daemons, each of which sees a seventh of what their twelve replicas do. What
-// they know by themselves is good; a few drawn by chance and compared by what is told did
-// worse (20 of 720 met a full replica), and worth per request owed fell by 0.010 +/- 0.004
-// (8 paired days).
-func TestFewDaemonsLoseNothingByWhatTheyAreTold(t *testing.T) {
-	load := choosers{daemons: 7, replicas: 12, zones: 3, perSecond: 120, lasts: time.Second, places: 14, told: 400 * time.Millisecond}
-	full, _, _ := load.play()
-	load.told = 0
-	alone, _, _ := load.play()
-	must.Eq(t, alone, full)
+// Seven daemons, each of which makes a seventh of the requests of their twelve replicas: their own
+// requests are a good estimate. Random candidates compared by reported loads did worse: 20 of 720
+// streams met a full replica, and worth per request owed fell by 0.010 +/- 0.004 (8 paired days).
+func TestReportedLoadsDoNotChangeChoicesOfFewDaemons(t *testing.T) {
+	load := pickerLoad{daemons: 7, replicas: 12, zones: 3, perSecond: 120, streamTime: time.Second, slots: 14, reportAge: 400 * time.Millisecond}
+	full, _, _ := load.simulate()
+	load.reportAge = 0
+	withoutReports, _, _ := load.simulate()
+	must.Eq(t, withoutReports, full)
 }
 
-// Up to sixteen daemons choose by their own requests; what stands still for others counts all
-// the same.
-func TestFewDaemonsHearWhatStandsStill(t *testing.T) {
+// Up to sixteen daemons choose by their own requests; reported stalls are used all the same.
+func TestFewDaemonsUseReportedStalls(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 })
 	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
 	p.Loaded(Others{Daemons: 7, InFlight: map[string]int{"here": 30}}, t0)
@@ -138,15 +136,15 @@
 	must.Eq(t, Still, p.Health(&group, t0))
 }
 
-// A word that is old, or none, leaves the choice to the daemon's own streams.
-func TestOldWordsDoNotCount(t *testing.T) {
+// An expired report, or none, leaves the choice to the daemon's own streams.
+func TestExpiredLoadReportsAreIgnored(t *testing.T) {
 	p := testPicker()
 	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"here": 50}}, t0)
-	must.Eq(t, "here", pickOne(p, t0.Add(toldFor), here, there))
+	must.Eq(t, "here", pickOne(p, t0.Add(loadTTL), here, there))
 }
 
-// Where every target of the draw stands still, the choice is made among all.
-func TestCandidatesStandWellIfAnyDoes(t *testing.T) {
+// If every candidate is stalled or suspect, all targets are considered.
+func TestCandidatesAreHealthyIfAnyIs(t *testing.T) {
 	p := NewPicker("z", func(int) int { return 0 })
 	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"there": 30}}, t0)
 	p.Suspect(&here, t0)
@@ -155,9 +153,9 @@
 	must.Eq(t, "here", pickOne(p, t0, here, there))
 }
 
-// What others have in progress counts like own requests.
-func TestOthersRequestsCount(t *testing.T) {
-	p := NewPicker("z", func(n int) int { return n - 1 }) // draws the last, keeps the first of equals
+// Requests in flight at other daemons count like own requests.
+func TestReportedRequestsCountTowardsLoad(t *testing.T) {
+	p := NewPicker("z", func(n int) int { return n - 1 }) // picks the last target, keeps the first of ties
 	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"here": 3}}, t0)
 	must.Eq(t, "there", pickOne(p, t0, here, there))
 	must.Eq(t, map[string]int{}, p.InFlight())
@@ -165,36 +163,35 @@
 	must.Eq(t, map[string]int{"here": 1}, p.InFlight())
 }
 
-// What happened: a group whose member had died drew streams for as long as it stood, and each
-// was moved only after 1.5 objectives. Why: with 295 daemons none has another stream there
-// that would show it, and a group that everybody left looks idle. What settled it: 2,296
-// streams of one day moved from "stream stands still" after 0.46 to 1.54 s.
-func TestGroupThatStandsForOthersIsLeft(t *testing.T) {
+// Guards against streams sent to a group whose member has died: with 295 daemons none has another
+// stream there that would show the stall, and a group without streams looks idle. Each of 2,296
+// streams of one day was moved from such a group only after 1.5 objectives, 0.46 to 1.54 s.
+func TestGroupReportedStalledIsAvoided(t *testing.T) {
 	p := NewPicker("z", func(int) int { return 0 })
 	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
-	anew := group
-	anew.Group.Epoch = 4
+	nextEpoch := group
+	nextEpoch.Group.Epoch = 4
 	p.Loaded(Others{Daemons: 100, Standing: map[fleet.Key]bool{group.Group: true}}, t0)
 	must.Eq(t, Still, p.Health(&group, t0))
 	must.Eq(t, "there", pickOne(p, t0, group, there))
-	must.Eq(t, Unknown, p.Health(&anew, t0), must.Sprint("its head leads another group now"))
-	must.Eq(t, "here", pickOne(p, t0, anew, there))
-	must.Eq(t, Unknown, p.Health(&group, t0.Add(standingFor)))
+	must.Eq(t, Unknown, p.Health(&nextEpoch, t0), must.Sprint("its head leads a new group epoch"))
+	must.Eq(t, "here", pickOne(p, t0, nextEpoch, there))
+	must.Eq(t, Unknown, p.Health(&group, t0.Add(stallReportTTL)))
 	p.Pick([]Target{group}, nil, t0)
-	p.Waits(&group, quietLeast, t0)
+	p.Waits(&group, minStallTimeout, t0)
 	p.Runs(&group, "m", t0, t0)
 	p.Progressed(&group, t0)
-	must.Eq(t, Alive, p.Health(&group, t0), must.Sprint("its streams bring events here"))
+	must.Eq(t, Alive, p.Health(&group, t0), must.Sprint("its streams make progress at this daemon"))
 	must.Eq(t, "here", pickOne(p, t0, group))
 }
 
-func TestProgressIsToldByGroup(t *testing.T) {
+func TestProgressIsReportedByGroup(t *testing.T) {
 	p := testPicker()
 	a, b := here, there
 	a.Group, b.Group = fleet.Key{Name: "a", Epoch: 1}, fleet.Key{Name: "b", Epoch: 1}
 	for _, target := range []*Target{&a, &b} {
 		p.Pick([]Target{*target}, nil, t0)
-		p.Waits(target, quietLeast, t0)
+		p.Waits(target, minStallTimeout, t0)
 		p.Progressed(target, t0)
 		p.Runs(target, "m", t0, t0)
 	}
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// Silence after which a stream goes on at another replica, if it may.
+// Limits on the silence of a stream, after which it is moved to another replica if it may be.
 const (
-	// firstEventTimes is how many times the objective a first event may take at a
-	// replica of which nothing else is known. Where other streams bring events the
-	// request only waits its turn, and moving would add load to an overload.
-	firstEventTimes = 1.5
-	// defaultFirstEvent stands in for a route without an objective.
+	// firstEventFactor is how many times the objective a first event may take at a replica about
+	// which nothing else is known. Where other streams make progress the request is only queued,
+	// and moving it would add load to an overload.
+	firstEventFactor = 1.5
+	// defaultFirstEvent applies to a route without an objective.
 	defaultFirstEvent = 2 * time.Second
 )
 
-// Silence is a stream that was sent and brings nothing.
+// Silence describes a stream that was sent and is currently silent.
 type Silence struct {
-	Begun    bool          // it brought an event before, and none since for its patience
+	Begun    bool          // it had events before, and none since for its stall timeout
 	Waited   time.Duration // since it was sent
-	Patience time.Duration // for its first event
-	Replica  Health        // by all streams of this daemon there
+	Patience time.Duration // stall timeout of its first event
+	Replica  Health        // as seen by all streams of this daemon there
 }
 
-// Move decides whether the stream should go on elsewhere. One that has begun and is
-// silent for longer than its patience has lost its answer, or its replica
-// stands still.
+// Move reports whether the stream should be moved. If it has begun and exceeds its stall timeout,
+// either its answer is lost or its replica is stalled.
 func (s Silence) Move() bool {
 	if s.Replica == Still || s.Begun {
 		return true
@@ -33,16 +32,16 @@
 	return s.Waited >= s.Patience
 }
 
-// FirstLook is how long after it was sent a stream's silence is looked at first.
+// FirstLook returns how long after its send a stream is first checked for silence.
 func (p Patience) FirstLook() time.Duration { return min(p.First, p.Pause) }
 
-// moveShare is the part of a route's objective after which a repeatable plain request
-// without an answer is sent elsewhere. A send that is cut much earlier would give its
-// upstream no chance; half leaves the other half for the second try.
-const moveShare = 0.5
+// resendShare is the share of a route's objective after which a repeatable plain request without
+// an answer is sent to another instance. A much earlier resend would give the upstream no chance;
+// half leaves the other half for the second send.
+const resendShare = 0.5
 
-// PlainPatience is how long a repeatable plain request may go without an answer before
-// it is sent elsewhere; 0: as long as it takes.
+// PlainPatience returns how long a repeatable plain request may go without an answer before it is
+// sent to another instance; 0: no limit.
 func PlainPatience(objective time.Duration) time.Duration {
-	return time.Duration(moveShare * float64(objective))
+	return time.Duration(resendShare * float64(objective))
 }
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -9,111 +9,110 @@
 	"pearlanding/internal/fleet"
 )
 
-// Target is where one request may be sent.
+// Target is an instance or group that a request may be sent to.
 type Target struct {
 	Instance string // id of the instance, or of a group's head
-	Born     int64  // of its life; 0: not told
+	Born     int64  // start time of its incarnation; 0: unknown
 	Address  string
 	Zone     string
 	Group    fleet.Key     // zero for plain services
-	Quiet    time.Duration // how long its running streams may bring nothing; 0: not told
+	Quiet    time.Duration // stall timeout of its running streams; 0: unknown
 }
 
-// life is one life of an instance's id. What was seen of one says nothing of the next.
-type life struct {
-	instance string
-	born     int64
+// incarnation is one run of an instance under its id. Observations of one do not apply to the next.
+type incarnation struct {
+	instance  string
+	startedAt int64
 }
 
-func (t *Target) life() life { return life{t.Instance, t.Born} }
+func (t *Target) incarnation() incarnation { return incarnation{t.Instance, t.Born} }
 
-// Weights of the choice, in requests in progress.
+// Weights of the score, in requests in flight.
 const (
-	// otherZonePenalty makes equal targets of the own zone go first: bytes between
-	// zones cost, but less than a wait.
+	// otherZonePenalty makes the picker prefer its own zone among equal targets: traffic between
+	// zones has a cost, but less than queueing.
 	otherZonePenalty = 0.5
-	// stillPenalty puts a target that stands still behind others.
-	stillPenalty = 40
-	// waitUnit of the oldest wait for a first event counts like a request in progress.
-	// The last first event does not count beside it: choosing by it too, daemons leave and
-	// return to a replica together.
+	// stalledPenalty ranks a stalled target behind others.
+	stalledPenalty = 40
+	// waitUnit of the oldest wait for a first event counts like one request in flight. The last
+	// first event is not part of the score: with it, daemons leave a replica and return to it
+	// together.
 	waitUnit = 50 * time.Millisecond
-	// suspectPenalty puts a target that failed lately behind others.
+	// suspectPenalty ranks a target that failed recently behind others.
 	suspectPenalty = 20
 )
 
-// Times of the picker.
+// Durations of the picker.
 const (
-	// quietLeast is how long all running streams of a target may bring nothing before
-	// it counts as standing still, where its passes are shorter or not known.
-	quietLeast = 250 * time.Millisecond
-	// quietMargin is added to the longest pass: links, and the processes' own delays.
-	quietMargin = 100 * time.Millisecond
-	// firstFor is how long a measured first event tells of the next one at most.
-	firstFor = 500 * time.Millisecond
-	// suspectFor is how long a target that failed is avoided; it doubles with each
-	// failure up to suspectMost until the target brings something again.
-	suspectFor  = 1500 * time.Millisecond
-	suspectMost = 8 * time.Second
-	// stoppedFor is how long a stream that stopped counts as a sign that its target
-	// stands still: it was moved, and is not there any more.
-	stoppedFor = time.Second
-	// forgetAfter is how long an unused target is remembered.
-	forgetAfter = 30 * time.Second
+	// minStallTimeout is how long all running streams of a target may be silent before it counts
+	// as stalled, if its passes are shorter or unknown.
+	minStallTimeout = 250 * time.Millisecond
+	// stallMargin is added to the longest pass for network and scheduling delays.
+	stallMargin = 100 * time.Millisecond
+	// firstEventTTL is how long a measured first event is used to predict the next one.
+	firstEventTTL = 500 * time.Millisecond
+	// minSuspicion is how long a target that failed is avoided. It doubles with each failure up to
+	// maxSuspicion, until the target makes progress again.
+	minSuspicion = 1500 * time.Millisecond
+	maxSuspicion = 8 * time.Second
+	// recentStall is how long a moved stream counts as a sign that the target is stalled: the
+	// stream itself no longer runs there.
+	recentStall = time.Second
+	// recordTTL is how long an unused target is remembered.
+	recordTTL = 30 * time.Second
 )
 
-// Picker chooses targets by what this daemon has in progress and saw there. Safe
+// Picker chooses targets by this daemon's requests in flight and its observations of them. Safe
 // for concurrent use.
 type Picker struct {
-	zone    string
-	uniform func(n int) int
-	mu      sync.Mutex
-	records map[life]*record
-	floors  map[string]time.Duration // quickest first events of late, by model
-	usuals  map[string]*usual        // by model
-	others  Others                   // what the other daemons told
-	toldAt  time.Time                // when they did
-	stops   chan struct{}
-	// Scratch space of one choice, kept as there may be thousands of targets.
-	all, well []scoredTarget
-	pair      [2]scoredTarget
-	ties      []int
+	zone     string
+	uniform  func(n int) int
+	mu       sync.Mutex
+	records  map[incarnation]*record
+	floors   map[string]time.Duration // fastest recent first events, by model
+	stats    map[string]*modelStats   // by model
+	others   Others                   // reports of the other daemons
+	othersAt time.Time                // when they were received
+	stalls   chan struct{}
+	// Scratch space of Pick, reused because there may be thousands of targets.
+	all, healthy []scoredTarget
+	pair         [2]scoredTarget
+	ties         []int
 }
 
-// NewPicker returns a picker for a daemon in a zone. uniform returns a number in
-// [0, n).
+// NewPicker returns a picker for a daemon in a zone. uniform returns a random number in [0, n).
 func NewPicker(zone string, uniform func(n int) int) *Picker {
-	return &Picker{zone: zone, uniform: uniform, records: map[life]*record{}, floors: map[string]time.Duration{}, usuals: map[string]*usual{}, stops: make(chan struct{}, 1)}
+	return &Picker{zone: zone, uniform: uniform, records: map[incarnation]*record{}, floors: map[string]time.Duration{}, stats: map[string]*modelStats{}, stalls: make(chan struct{}, 1)}
 }
 
-// Pick takes the least loaded target that was not tried, nil if there is none.
-// Its request counts as in progress until Done or Ended is called.
+// Pick returns the least loaded target that was not tried, nil if there is none. The request
+// counts as in flight until Done or Ended is called.
 func (p *Picker) Pick(targets []Target, tried map[string]bool, now time.Time) *Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best := p.least(p.candidates(targets, tried, now), func(s *scoredTarget) float64 { return p.score(s, now) })
+	best := p.lowestScore(p.candidates(targets, tried, now), func(s *scoredTarget) float64 { return p.score(s, now) })
 	if best == nil {
 		return nil
 	}
-	r := p.record(best.target.life())
+	r := p.record(best.target.incarnation())
 	r.inFlight++
-	r.used, r.quiet, r.group = now, max(best.target.Quiet, quietLeast), best.target.Group
+	r.used, r.stallTimeout, r.group = now, max(best.target.Quiet, minStallTimeout), best.target.Group
 	return best.target
 }
 
-// score is what speaks against a target, in requests in progress. p.mu is held.
+// score returns the load of a target, in requests in flight, with penalties. p.mu is held.
 func (p *Picker) score(s *scoredTarget, now time.Time) float64 {
 	score := s.own
-	if p.told(now) {
+	if p.loadsKnown(now) {
 		score += float64(p.others.InFlight[s.target.Instance])
 		if s.target.Zone != p.zone {
-			score += toldZonePenalty - otherZonePenalty
+			score += knownLoadZonePenalty - otherZonePenalty
 		}
 	}
 	return score
 }
 
-// ownScore is the same by this daemon's own requests alone, which r records. p.mu is held.
+// ownScore is the score by this daemon's own requests alone, recorded in r. p.mu is held.
 func (p *Picker) ownScore(t *Target, r *record, now time.Time) float64 {
 	score := 0.0
 	if t.Zone != p.zone {
@@ -123,8 +122,8 @@
 		return score
 	}
 	score += float64(r.inFlight) + float64(r.oldestWait(now))/float64(waitUnit)
-	if r.still(now) {
-		score += stillPenalty
+	if r.stalled(now) {
+		score += stalledPenalty
 	}
 	if now.Before(r.suspectUntil) {
 		score += suspectPenalty
@@ -132,90 +131,89 @@
 	return score
 }
 
-// soonest returns the least time that a first event will take at any of the
-// targets that do not stand still, as far as is known; ok is false if there are
-// none.
-func (p *Picker) soonest(targets []Target, now time.Time) (least time.Duration, ok bool) {
+// earliestFirstEvent returns the lowest expected wait for a first event at any target that is neither
+// stalled nor suspect, as far as known; ok is false if there is no such target.
+func (p *Picker) earliestFirstEvent(targets []Target, now time.Time) (least time.Duration, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range targets {
-		r := p.records[targets[i].life()]
+		r := p.records[targets[i].incarnation()]
 		if r == nil {
 			return 0, true
 		}
-		if r.still(now) || now.Before(r.suspectUntil) {
+		if r.stalled(now) || now.Before(r.suspectUntil) {
 			continue
 		}
-		if d := r.expected(now); !ok || d < least {
+		if d := r.expectedWait(now); !ok || d < least {
 			least, ok = d, true
 		}
 	}
 	return least, ok
 }
 
-// Health is what this daemon's own requests show of a target.
+// Health is the state of a target as seen by this daemon's own requests.
 type Health int
 
 const (
-	Unknown Health = iota // no stream runs there that would show it
-	Alive                 // streams bring events
-	Still                 // streams have stopped to, or requests failed lately
+	Unknown Health = iota // no running stream would show it
+	Alive                 // running streams make progress
+	Still                 // running streams stalled, or requests failed recently
 )
 
-// Health tells what is known of a target.
+// Health returns the known state of a target.
 func (p *Picker) Health(t *Target, now time.Time) Health {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.records[t.life()]
+	r := p.records[t.incarnation()]
 	switch {
-	case r != nil && (r.still(now) || now.Before(r.suspectUntil)):
+	case r != nil && (r.stalled(now) || now.Before(r.suspectUntil)):
 		return Still
 	case r != nil && r.running > 0:
 		return Alive
-	case p.toldStanding(t, now):
+	case p.reportedStalled(t, now):
 		return Still
 	}
 	return Unknown
 }
 
-// record returns a target's record; p.mu is held.
-func (p *Picker) record(of life) *record {
-	r := p.records[of]
+// record returns a target's record, created if needed; p.mu is held.
+func (p *Picker) record(id incarnation) *record {
+	r := p.records[id]
 	if r == nil {
-		r = &record{quiet: quietLeast}
-		p.records[of] = r
+		r = &record{stallTimeout: minStallTimeout}
+		p.records[id] = r
 	}
 	return r
 }
 
-// Waits notes that a stream was sent and waits for its first event. quiet is how long
-// streams at the target may bring nothing before it counts as standing still.
-func (p *Picker) Waits(t *Target, quiet time.Duration, now time.Time) {
+// Waits records that a stream was sent and waits for its first event. stallTimeout applies to the
+// streams at the target.
+func (p *Picker) Waits(t *Target, stallTimeout time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.record(t.life())
-	r.quiet = quiet
+	r := p.record(t.incarnation())
+	r.stallTimeout = stallTimeout
 	r.waiting = append(r.waiting, now)
 }
 
-// Runs notes the first event of a stream that was sent at a time.
+// Runs records the first event of a stream that was sent at a time.
 func (p *Picker) Runs(t *Target, model string, sent, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.learn(model, now.Sub(sent))
-	p.usualOf(model).awaited(now.Sub(sent))
-	r := p.record(t.life())
+	p.updateFloor(model, now.Sub(sent))
+	p.statsOf(model).addFirst(now.Sub(sent))
+	r := p.record(t.incarnation())
 	r.running++
-	r.first, r.firstAt = now.Sub(sent), now
-	r.unwait(sent)
+	r.lastFirst, r.lastFirstAt = now.Sub(sent), now
+	r.endWait(sent)
 }
 
-// floorRise is the part by which each slower first event lifts the floor, so that
-// it follows an engine that changed within some thousand requests.
+// floorRise is the fraction by which each slower first event raises the floor, so that it follows
+// a changed engine within some thousand requests.
 const floorRise = 0.001
 
-// learn keeps the floor of a model's first events; p.mu is held.
-func (p *Picker) learn(model string, first time.Duration) {
+// updateFloor updates the fastest recent first event of a model; p.mu is held.
+func (p *Picker) updateFloor(model string, first time.Duration) {
 	floor, known := p.floors[model]
 	if !known || first < floor {
 		p.floors[model] = first
@@ -224,8 +222,7 @@
 	p.floors[model] = floor + time.Duration(floorRise*float64(first-floor))
 }
 
-// Floor returns the quickest first event that a model showed of late: what a
-// stream takes where nothing waits before it. 0: not known.
+// Floor returns the fastest recent first event of a model, that is without queueing; 0: unknown.
 func (p *Picker) Floor(model string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,112 +233,110 @@
 func (p *Picker) Done(t *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.record(t.life()).inFlight--
+	p.record(t.incarnation()).inFlight--
 }
 
-// Ended ends a stream that was sent at a time; ran tells whether it brought an
-// event.
+// Ended ends a stream that was sent at a time; ran reports whether it had any event.
 func (p *Picker) Ended(t *Target, sent time.Time, ran bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.record(t.life())
+	r := p.record(t.incarnation())
 	r.inFlight--
 	if ran {
 		r.running--
 	} else {
-		r.unwait(sent)
+		r.endWait(sent)
 	}
 }
 
-// Progressed notes that a target did something for a request.
+// Progressed records that a target made progress on a request.
 func (p *Picker) Progressed(t *Target, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.record(t.life())
+	r := p.record(t.incarnation())
 	r.progress, r.used, r.suspicion = now, now, 0
 }
 
-// Suspect notes that a target failed; it is avoided for a while.
+// Suspect records that a target failed; it is avoided for a while.
 func (p *Picker) Suspect(t *Target, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.record(t.life())
+	r := p.record(t.incarnation())
 	if now.Before(r.suspectUntil) {
-		return // failed together with others
+		return // one of several requests that failed together
 	}
-	r.suspicion = min(max(2*r.suspicion, suspectFor), suspectMost)
+	r.suspicion = min(max(2*r.suspicion, minSuspicion), maxSuspicion)
 	r.suspectUntil = now.Add(r.suspicion)
 }
 
-// Load is what this daemon has in progress at one target.
+// Load is the load of this daemon on one target.
 type Load struct {
 	Instance string // id of the instance, or of a group's head
 	InFlight int
-	Expected time.Duration // until the next first event, at least; as known
+	Expected time.Duration // lower bound of the wait for the next first event
 }
 
-// Loads returns the loads of the targets used lately, ordered by instance.
+// Loads returns the loads of the targets used recently, ordered by instance.
 func (p *Picker) Loads(now time.Time) []Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]Load, 0, len(p.records))
-	for of, r := range p.records {
-		out = append(out, Load{of.instance, r.inFlight, r.expected(now)})
+	for id, r := range p.records {
+		out = append(out, Load{id.instance, r.inFlight, r.expectedWait(now)})
 	}
 	slices.SortFunc(out, func(a, b Load) int { return cmp.Compare(a.Instance, b.Instance) })
 	return out
 }
 
-// Still lists the instances whose running streams have stopped to bring events,
-// or to which requests failed lately.
+// Still returns the instances whose running streams are stalled, or that failed recently.
 func (p *Picker) Still(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
-	for of, r := range p.records {
-		if r.still(now) || now.Before(r.suspectUntil) {
-			out = append(out, of.instance)
+	for id, r := range p.records {
+		if r.stalled(now) || now.Before(r.suspectUntil) {
+			out = append(out, id.instance)
 		}
 	}
 	return out
 }
 
-// NoteStopped notes that a running stream stopped and was moved away.
+// NoteStopped records that a running stream stalled and was moved.
 func (p *Picker) NoteStopped(t *Target, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.record(t.life()).stoppedAt = now
+	p.record(t.incarnation()).stalledAt = now
 	select {
-	case p.stops <- struct{}{}:
-	default: // signalled already
+	case p.stalls <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// Stops is signalled when a running stream stopped and was moved away.
-func (p *Picker) Stops() <-chan struct{} { return p.stops }
+// Stops is signalled when a running stream stalled and was moved.
+func (p *Picker) Stops() <-chan struct{} { return p.stalls }
 
-// Stopped lists the instances at which running streams of this daemon stopped lately and
-// nothing came since, in order.
+// Stopped returns the instances, in order, at which running streams of this daemon stalled
+// recently and made no progress since.
 func (p *Picker) Stopped(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
-	for of, r := range p.records {
-		if r.stopped(now) {
-			out = append(out, of.instance)
+	for id, r := range p.records {
+		if r.stalledRecently(now) {
+			out = append(out, id.instance)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Sweep forgets targets that were not used lately.
+// Sweep removes the records of targets that were not used recently.
 func (p *Picker) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for of, r := range p.records {
-		if r.inFlight == 0 && now.Sub(r.used) > forgetAfter {
-			delete(p.records, of)
+	for id, r := range p.records {
+		if r.inFlight == 0 && now.Sub(r.used) > recordTTL {
+			delete(p.records, id)
 		}
 	}
 }
--- a/internal/dispatch/picker_bench_test.go
+++ b/internal/dispatch/picker_bench_test.go
@@ -9,8 +9,8 @@
 	"pearlanding/internal/fleet"
 )
 
-// BenchmarkPick is one choice among replicas, of which this daemon has used a part lately,
-// where the others' loads are told.
+// BenchmarkPick measures one choice among replicas, part of which this daemon used recently, with
+// known loads of other daemons.
 func BenchmarkPick(b *testing.B) {
 	for _, replicas := range []int{75, 750, 2050} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
--- a/internal/dispatch/picker_test.go
+++ b/internal/dispatch/picker_test.go
@@ -9,13 +9,13 @@
 )
 
 var (
-	t0    = time.Unix(1000, 0)
-	first = func(int) int { return 1 } // ties keep the first
-	here  = Target{Instance: "here", Zone: "z"}
-	there = Target{Instance: "there", Zone: "other"}
+	t0        = time.Unix(1000, 0)
+	keepFirst = func(int) int { return 1 } // keeps the first of ties
+	here      = Target{Instance: "here", Zone: "z"}
+	there     = Target{Instance: "there", Zone: "other"}
 )
 
-func testPicker() *Picker { return NewPicker("z", first) }
+func testPicker() *Picker { return NewPicker("z", keepFirst) }
 
 func pickOne(p *Picker, now time.Time, targets ...Target) string {
 	t := p.Pick(targets, nil, now)
@@ -29,26 +29,26 @@
 func TestPickerPrefersTheOwnZoneUntilItIsBusier(t *testing.T) {
 	p := testPicker()
 	must.Eq(t, "here", pickOne(p, t0, there, here))
-	p.Pick([]Target{here}, nil, t0) // stays in progress
+	p.Pick([]Target{here}, nil, t0) // stays in flight
 	must.Eq(t, "there", pickOne(p, t0, here, there))
 }
 
-func TestPickerLeavesOutWhatWasTried(t *testing.T) {
+func TestPickSkipsTriedTargets(t *testing.T) {
 	p := testPicker()
 	must.Nil(t, p.Pick([]Target{here}, map[string]bool{"here": true}, t0))
 }
 
-func TestStreamThatOnlyWaitsDoesNotMakeATargetStandStill(t *testing.T) {
+func TestWaitingStreamDoesNotStallTarget(t *testing.T) {
 	p := testPicker()
 	p.Pick([]Target{here}, nil, t0)
-	p.Waits(&here, quietLeast, t0)
+	p.Waits(&here, minStallTimeout, t0)
 	must.Eq(t, Unknown, p.Health(&here, t0.Add(time.Second)))
 }
 
-func TestTargetStandsStillWhenItsRunningStreamsDo(t *testing.T) {
+func TestTargetStallsWithItsRunningStreams(t *testing.T) {
 	p := testPicker()
 	p.Pick([]Target{here}, nil, t0)
-	p.Waits(&here, quietLeast, t0)
+	p.Waits(&here, minStallTimeout, t0)
 	p.Progressed(&here, t0.Add(100*time.Millisecond))
 	p.Runs(&here, "m", t0, t0.Add(100*time.Millisecond))
 	must.Eq(t, Alive, p.Health(&here, t0.Add(200*time.Millisecond)))
@@ -59,14 +59,14 @@
 	must.Eq(t, Unknown, p.Health(&here, t0.Add(time.Second)))
 }
 
-// A stream that stopped is moved at once; the daemon that plans should still hear of it,
-// unless something came from there since.
-func TestStoppedStreamsAreTold(t *testing.T) {
+// A stalled stream is moved at once; the planning daemon must still learn of the stall, unless the
+// target made progress since.
+func TestRecentStallsAreListed(t *testing.T) {
 	p := testPicker()
 	must.SliceEmpty(t, p.Stopped(t0))
 	p.NoteStopped(&here, t0)
-	must.Eq(t, []string{"here"}, p.Stopped(t0.Add(stoppedFor-1)))
-	must.SliceEmpty(t, p.Stopped(t0.Add(stoppedFor)))
+	must.Eq(t, []string{"here"}, p.Stopped(t0.Add(recentStall-1)))
+	must.SliceEmpty(t, p.Stopped(t0.Add(recentStall)))
 	p.NoteStopped(&here, t0)
 	p.Progressed(&here, t0.Add(time.Millisecond))
 	must.SliceEmpty(t, p.Stopped(t0.Add(2*time.Millisecond)))
@@ -75,58 +75,58 @@
 func TestSuspicionDoublesUntilTheTargetAnswers(t *testing.T) {
 	p := testPicker()
 	now := t0
-	for _, want := range []time.Duration{suspectFor, 2 * suspectFor, 4 * suspectFor, suspectMost} {
+	for _, want := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion, maxSuspicion} {
 		p.Suspect(&here, now)
-		p.Suspect(&here, now) // another request that failed with it
+		p.Suspect(&here, now) // one of several requests that failed together
 		must.Eq(t, Still, p.Health(&here, now.Add(want-1)))
 		must.Eq(t, Unknown, p.Health(&here, now.Add(want)))
 		now = now.Add(want)
 	}
 	p.Progressed(&here, now)
 	p.Suspect(&here, now)
-	must.Eq(t, Unknown, p.Health(&here, now.Add(suspectFor)))
+	must.Eq(t, Unknown, p.Health(&here, now.Add(minSuspicion)))
 }
 
-func TestSoonestCountsWaitsAndTheLastFirstEvent(t *testing.T) {
+func TestEarliestFirstEventCountsWaitsAndLastFirstEvent(t *testing.T) {
 	p := testPicker()
 	targets := []Target{here, there}
-	least, ok := p.soonest(targets, t0)
+	least, ok := p.earliestFirstEvent(targets, t0)
 	must.True(t, ok)
 	must.Eq(t, 0, least)
 	for i := range targets {
 		p.Pick(targets[i:i+1], nil, t0)
-		p.Waits(&targets[i], quietLeast, t0)
+		p.Waits(&targets[i], minStallTimeout, t0)
 	}
-	least, _ = p.soonest(targets, t0.Add(300*time.Millisecond))
+	least, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
 	must.Eq(t, 300*time.Millisecond, least)
 	p.Progressed(&there, t0.Add(200*time.Millisecond))
 	p.Runs(&there, "m", t0, t0.Add(200*time.Millisecond))
-	least, _ = p.soonest(targets, t0.Add(300*time.Millisecond))
-	must.Eq(t, 100*time.Millisecond, least, must.Sprint("its queue has emptied for a tenth of a second"))
-	least, _ = p.soonest(targets, t0.Add(400*time.Millisecond))
+	least, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
+	must.Eq(t, 100*time.Millisecond, least, must.Sprint("its queue has been draining for a tenth of a second"))
+	least, _ = p.earliestFirstEvent(targets, t0.Add(400*time.Millisecond))
 	must.Eq(t, 0, least)
 	p.Suspect(&here, t0)
 	p.Suspect(&there, t0)
-	_, ok = p.soonest(targets, t0.Add(300*time.Millisecond))
+	_, ok = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
 	must.False(t, ok)
 }
 
-// Load: a long prompt has just made a first event late at one of two equal replicas.
-// Nothing waits there now, so both get requests alike; where a stream waits, none goes.
-func TestChoiceGoesByWhatWaitsNow(t *testing.T) {
+// A long prompt has just delayed a first event at one of two equal replicas. Nothing waits there
+// now, so both get requests alike; a replica where a stream waits gets none.
+func TestPickUsesCurrentWaits(t *testing.T) {
 	p, other := testPicker(), Target{Instance: "other", Zone: "z"}
 	p.Pick([]Target{here}, nil, t0)
-	p.Waits(&here, quietLeast, t0)
+	p.Waits(&here, minStallTimeout, t0)
 	p.Runs(&here, "m", t0, t0.Add(400*time.Millisecond))
 	p.Ended(&here, t0, true)
 	now := t0.Add(410 * time.Millisecond)
 	must.Eq(t, "here", pickOne(p, now, here, other))
 	p.Pick([]Target{here}, nil, now)
-	p.Waits(&here, quietLeast, now)
+	p.Waits(&here, minStallTimeout, now)
 	must.Eq(t, "other", pickOne(p, now.Add(100*time.Millisecond), here, other))
 }
 
-func TestFloorFollowsTheQuickestSlowly(t *testing.T) {
+func TestFloorRisesSlowly(t *testing.T) {
 	p := testPicker()
 	must.Eq(t, 0, p.Floor("m"))
 	p.Runs(&here, "m", t0, t0.Add(200*time.Millisecond))
@@ -136,18 +136,18 @@
 	must.Between(t, 150*time.Millisecond, p.Floor("m"), 152*time.Millisecond)
 }
 
-func TestUnusedTargetsAreForgotten(t *testing.T) {
+func TestUnusedRecordsExpire(t *testing.T) {
 	p := testPicker()
 	pickOne(p, t0, here)
 	p.Pick([]Target{there}, nil, t0)
-	p.Sweep(t0.Add(2 * forgetAfter))
-	must.MapNotContainsKey(t, p.records, here.life())
-	must.MapContainsKey(t, p.records, there.life())
+	p.Sweep(t0.Add(2 * recordTTL))
+	must.MapNotContainsKey(t, p.records, here.incarnation())
+	must.MapContainsKey(t, p.records, there.incarnation())
 }
 
-// An instance that starts again under its id has failed nothing yet, and what the life
-// before still has in progress is none of its load.
-func TestSuspicionEndsWithTheLife(t *testing.T) {
+// A restarted instance under the same id is not suspect, and requests in flight at its previous
+// incarnation are not part of its load.
+func TestSuspicionEndsWithIncarnation(t *testing.T) {
 	p := testPicker()
 	next := here
 	next.Born = 2
@@ -160,8 +160,8 @@
 	must.Eq(t, "here", pickOne(p, t0.Add(time.Millisecond), next, there))
 }
 
-// Guards against lists of all replicas made for each choice.
-func TestAChoiceMakesNoGarbage(t *testing.T) {
+// Guards against allocating lists of all replicas for each choice.
+func TestPickDoesNotAllocate(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 })
 	p.Loaded(Others{Daemons: 100}, t0)
 	targets := make([]Target, 500)
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -8,43 +8,43 @@
 	"github.com/shoenig/test/must"
 )
 
-// pooledLoad is a load that daemons of several zones bear, each zone with a pool.
+// pooledLoad is a load on daemons of several zones, each zone with a pool.
 type pooledLoad struct {
 	sharedLoad
-	zones    int
-	handOver time.Duration // between two times that a daemon hands over what it has to spare
-	fails    int           // of a daemon's requests from failFrom on one in so many fails at first
-	poolEnds []time.Duration
-	// failUntil, if set, is when requests stop to fail; percent, if set, is how many of a
-	// hundred fail; spared is one in so many daemons that a restart leaves alone.
-	failUntil time.Duration
-	percent   int
-	spared    int
+	zones            int
+	handOverInterval time.Duration // between two times that a daemon hands over its surplus
+	failOneIn        int           // from failFrom on, one in this many requests of a daemon fails at first
+	poolRestarts     []time.Duration
+	// failUntil, if set, is when requests no longer fail. percent, if set, is how many of a hundred
+	// fail. One in sparedOneIn daemons is not restarted.
+	failUntil   time.Duration
+	percent     int
+	sparedOneIn int
 }
 
-// failed tells whether a request at a time fails at first.
-func (l pooledLoad) failed(at time.Duration, chance *rand.Rand) bool {
+// failed reports whether a request at a time fails at first.
+func (l pooledLoad) failed(at time.Duration, rng *rand.Rand) bool {
 	switch {
 	case at < l.failFrom, l.failUntil > 0 && at >= l.failUntil:
 		return false
 	case l.percent > 0:
-		return chance.IntN(100) < l.percent
+		return rng.IntN(100) < l.percent
 	}
-	return chance.IntN(l.fails) == 0
+	return rng.IntN(l.failOneIn) == 0
 }
 
-// pooledDaemon is one daemon of it.
+// pooledDaemon is one daemon of a pooledLoad.
 type pooledDaemon struct {
-	budget   *Budget
-	handed   time.Duration
-	restarts []time.Duration
+	budget       *Budget
+	handedOverAt time.Duration
+	restarts     []time.Duration
 }
 
-// play returns what the daemons did, and how many requests were not repeated.
-func (l pooledLoad) play(pooled bool) (counts sharedCounts, unserved int) {
-	steps := int(l.ends / halfSecond)
+// simulate returns what the daemons did, and how many requests were not repeated.
+func (l pooledLoad) simulate(pooled bool) (counts sharedCounts, unserved int) {
+	steps := int(l.duration / halfSecond)
 	counts = sharedCounts{make([]int, steps), make([]int, steps)}
-	begun := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	rule := PoolRule{Extra: float64(l.extra), Window: testRule.Window, Pools: l.zones}
 	pools := make([]*Pool, l.zones)
 	daemons := make([]*pooledDaemon, l.daemons)
@@ -53,17 +53,17 @@
 	}
 	for i := range daemons {
 		daemons[i] = &pooledDaemon{budget: NewBudget(), restarts: l.restarts}
-		if l.spared > 0 && i%l.spared == 0 {
+		if l.sparedOneIn > 0 && i%l.sparedOneIn == 0 {
 			daemons[i].restarts = nil
 		}
 	}
-	poolEnds := l.poolEnds
-	chance := rand.New(rand.NewPCG(1, 2))
-	gap := l.every / time.Duration(l.daemons)
-	for i, at := 0, time.Duration(0); at < l.ends; i, at = i+1, at+gap {
-		now := begun.Add(at)
-		if len(poolEnds) > 0 && at >= poolEnds[0] {
-			poolEnds = poolEnds[1:]
+	poolRestarts := l.poolRestarts
+	rng := rand.New(rand.NewPCG(1, 2))
+	gap := l.interval / time.Duration(l.daemons)
+	for i, at := 0, time.Duration(0); at < l.duration; i, at = i+1, at+gap {
+		now := start.Add(at)
+		if len(poolRestarts) > 0 && at >= poolRestarts[0] {
+			poolRestarts = poolRestarts[1:]
 			for z := range pools {
 				pools[z] = &Pool{}
 			}
@@ -74,11 +74,11 @@
 		}
 		d.budget.Request(testRule, now)
 		counts.requests[at/halfSecond]++
-		if pooled && at-d.handed >= l.handOver {
-			d.handed = at
+		if pooled && at-d.handedOverAt >= l.handOverInterval {
+			d.handedOverAt = at
 			pool.Put(map[string]float64{"s": d.budget.Spare(now)}, rule, now)
 		}
-		if !l.failed(at, chance) {
+		if !l.failed(at, rng) {
 			continue
 		}
 		if d.budget.Repeat(testRule, now) || pooled && pool.Take("s", rule, now) {
@@ -91,37 +91,36 @@
 }
 
 // large is the load of 295 daemons in five zones with 937 requests a second.
-var large = pooledLoad{zones: 5, handOver: 600 * time.Millisecond, fails: 2,
-	sharedLoad: sharedLoad{daemons: 295, every: 295 * time.Second / 937, ends: 40 * time.Second, extra: 672}}
+var large = pooledLoad{zones: 5, handOverInterval: 600 * time.Millisecond, failOneIn: 2,
+	sharedLoad: sharedLoad{daemons: 295, interval: 295 * time.Second / 937, duration: 40 * time.Second, extra: 672}}
 
-// What happened: on a quiet day 15 of 21 requests that were not served, by the lines of 22
-// daemons, ended because their daemon's budget had no repeat left, though an engine had said
-// that it did not run them. Why: each of 295 daemons earns by itself, begins with none, and
-// saves little. What settled it: "retry_budget_spent" after one send of a few ms, while all
-// daemons together made a ninth of the repeats that they may.
+// Guards against unserved requests of daemons whose budget is used up: each of 295 daemons accrues
+// credit by itself, starts with none and saves little. In the logs of 22 daemons of a normal day, 15
+// of 21 unserved requests failed for it after one send of a few ms ("retry_budget_spent"), though an
+// engine had reported that it did not run them. All daemons made a ninth of the allowed repeats.
 //
-// Load: one request in twenty fails at first, from the third second on.
-func TestPoolLetsWhatDidNotRunBeSentOn(t *testing.T) {
+// One request in twenty fails at first, from the third second on.
+func TestPoolAllowsResendOfRequestsThatDidNotRun(t *testing.T) {
 	load := large
-	load.fails, load.failFrom = 20, 2*time.Second
-	_, alone := load.play(false)
-	_, shared := load.play(true)
-	must.Less(t, alone/5, shared, must.Sprint("alone ", alone))
+	load.failOneIn, load.failFrom = 20, 2*time.Second
+	_, withoutPools := load.simulate(false)
+	_, withPools := load.simulate(true)
+	must.Less(t, withoutPools/5, withPools, must.Sprint("without pools ", withoutPools))
 }
 
-// Load: a service of few requests at each daemon, of which one in seven fails. Alone, each
-// daemon saves 14 seconds for a repeat.
-func TestPoolServesFewRequestsAtEachDaemon(t *testing.T) {
+// A service with few requests at each daemon, of which one in seven fails. Without a pool, each
+// daemon needs 14 seconds to accrue one repeat.
+func TestPoolServesDaemonsWithFewRequests(t *testing.T) {
 	load := large
-	load.every, load.fails = 295*time.Second/112, 7
-	_, alone := load.play(false)
-	_, shared := load.play(true)
-	must.Less(t, alone/3, shared, must.Sprint("alone ", alone))
+	load.interval, load.failOneIn = 295*time.Second/112, 7
+	_, withoutPools := load.simulate(false)
+	_, withPools := load.simulate(true)
+	must.Less(t, withoutPools/3, withPools, must.Sprint("without pools ", withoutPools))
 }
 
-// Load: every second request fails at first. However often all daemons and all pools start
-// anew, no window has more repeats than the rule allows.
-func TestPoolKeepsTheSharedRule(t *testing.T) {
+// Every second request fails at first. However often all daemons and all pools restart, no window
+// has more repeats than the rule allows.
+func TestPoolStaysWithinSharedLimit(t *testing.T) {
 	seconds := func(at ...float64) (out []time.Duration) {
 		for _, s := range at {
 			out = append(out, time.Duration(s*float64(time.Second)))
@@ -130,57 +129,56 @@
 	}
 	for name, change := range map[string]func(*pooledLoad){
 		"from the start":     func(*pooledLoad) {},
-		"after a quiet time": func(l *pooledLoad) { l.failFrom = 15 * time.Second },
-		"daemons start anew": func(l *pooledLoad) { l.failFrom, l.restarts = 10*time.Second, seconds(12, 14, 16, 18) },
-		"pools start anew":   func(l *pooledLoad) { l.failFrom, l.poolEnds = 10*time.Second, seconds(12, 14, 16, 18) },
-		"all of it": func(l *pooledLoad) {
-			l.failFrom, l.restarts, l.poolEnds = 5*time.Second, seconds(8, 11), seconds(7, 11)
+		"after an idle time": func(l *pooledLoad) { l.failFrom = 15 * time.Second },
+		"daemons restart":    func(l *pooledLoad) { l.failFrom, l.restarts = 10*time.Second, seconds(12, 14, 16, 18) },
+		"pools restart":      func(l *pooledLoad) { l.failFrom, l.poolRestarts = 10*time.Second, seconds(12, 14, 16, 18) },
+		"all together": func(l *pooledLoad) {
+			l.failFrom, l.restarts, l.poolRestarts = 5*time.Second, seconds(8, 11), seconds(7, 11)
 		},
-		"smaller, with less besides": func(l *pooledLoad) { l.daemons, l.every, l.extra, l.zones = 61, 61*time.Second/483, 222, 3 },
-		"smallest":                   func(l *pooledLoad) { l.daemons, l.every, l.extra, l.zones = 9, 9*time.Second/162, 109, 3 },
-		"few requests":               func(l *pooledLoad) { l.every = 295 * time.Second / 112 },
+		"smaller, with less extra": func(l *pooledLoad) { l.daemons, l.interval, l.extra, l.zones = 61, 61*time.Second/483, 222, 3 },
+		"smallest":                 func(l *pooledLoad) { l.daemons, l.interval, l.extra, l.zones = 9, 9*time.Second/162, 109, 3 },
+		"few requests":             func(l *pooledLoad) { l.interval = 295 * time.Second / 112 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			load := large
 			change(&load)
-			counts, _ := load.play(true)
+			counts, _ := load.simulate(true)
 			must.LessEq(t, 0, load.excess(counts))
 		})
 	}
 }
 
-// Load of two days that were handed over: engines turn 45 of 100 requests away for eleven
-// seconds, and four seconds in nine tenths of the daemons are killed, their pools with them;
-// and 40 of 100 streams break off for five seconds. At any size and moment, no window has more
-// repeats than the rule allows.
-func TestRefusalsAndBrokenStreamsKeepTheSharedRule(t *testing.T) {
+// Two loads of recorded days. Engines refuse 45 of 100 requests for eleven seconds; four seconds in,
+// nine tenths of the daemons and their pools are killed. And 40 of 100 streams break off for five
+// seconds. At any size and moment, no window has more repeats than the rule allows.
+func TestRefusalsAndBrokenStreamsStayWithinSharedLimit(t *testing.T) {
 	sizes := map[string]func(*pooledLoad){
 		"large":    func(*pooledLoad) {},
-		"smaller":  func(l *pooledLoad) { l.daemons, l.every, l.extra, l.zones = 61, 61*time.Second/483, 222, 3 },
-		"smallest": func(l *pooledLoad) { l.daemons, l.every, l.extra, l.zones = 9, 9*time.Second/162, 109, 3 },
+		"smaller":  func(l *pooledLoad) { l.daemons, l.interval, l.extra, l.zones = 61, 61*time.Second/483, 222, 3 },
+		"smallest": func(l *pooledLoad) { l.daemons, l.interval, l.extra, l.zones = 9, 9*time.Second/162, 109, 3 },
 	}
 	for size, change := range sizes {
 		for _, from := range []time.Duration{0, 3 * time.Second, 6 * time.Second, 17 * time.Second} {
 			load := large
 			change(&load)
-			load.failFrom, load.failUntil, load.percent, load.spared = from, from+11*time.Second, 45, 10
+			load.failFrom, load.failUntil, load.percent, load.sparedOneIn = from, from+11*time.Second, 45, 10
 			load.restarts = []time.Duration{from + 4*time.Second}
-			load.poolEnds = load.restarts
-			respent, _ := load.play(true)
-			must.LessEq(t, 0, load.excess(respent), must.Sprint("turned away, ", size, from))
-			load.failUntil, load.percent, load.restarts, load.poolEnds = from+5*time.Second, 40, nil, nil
-			broken, _ := load.play(true)
+			load.poolRestarts = load.restarts
+			refused, _ := load.simulate(true)
+			must.LessEq(t, 0, load.excess(refused), must.Sprint("refused, ", size, from))
+			load.failUntil, load.percent, load.restarts, load.poolRestarts = from+5*time.Second, 40, nil, nil
+			broken, _ := load.simulate(true)
 			must.LessEq(t, 0, load.excess(broken), must.Sprint("broken off, ", size, from))
 		}
 	}
 }
 
-func TestPoolStartsEmptyAndForgets(t *testing.T) {
+func TestPoolStartsEmptyAndDecays(t *testing.T) {
 	p, rule := &Pool{}, PoolRule{}
 	must.False(t, p.Take("s", rule, t0))
 	p.Put(map[string]float64{"s": 3}, rule, t0)
 	must.False(t, p.Take("other", rule, t0))
 	must.True(t, p.Take("s", rule, t0))
-	must.False(t, p.Take("s", rule, t0.Add(2*pooledFor)))
-	must.Less(t, 1.0, p.Levels(rule, t0.Add(2*pooledFor))["s"])
+	must.False(t, p.Take("s", rule, t0.Add(2*poolDecay)))
+	must.Less(t, 1.0, p.Levels(rule, t0.Add(2*poolDecay))["s"])
 }
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -8,55 +8,55 @@
 	"pearlanding/internal/routes"
 )
 
-// QuietFor is how long running streams of a model's replica may bring nothing: a
-// replica that reads long prompts is quiet for a whole pass, and moving its streams
-// away then makes others read them again.
+// QuietFor returns the stall timeout of streams at a model's replica. A replica that reads long
+// prompts is silent for a whole pass, and moving its streams makes other replicas read their
+// prompts again.
 func QuietFor(e *routes.Engine, m routes.Model) time.Duration {
-	return max(e.LongestPass(m)+quietMargin, quietLeast)
+	return max(e.LongestPass(m)+stallMargin, minStallTimeout)
 }
 
-// record is what this daemon itself saw of a target.
+// record holds this daemon's own observations of a target.
 type record struct {
-	quiet        time.Duration // how long running streams may bring nothing
+	stallTimeout time.Duration // how long running streams may be silent
 	inFlight     int
-	running      int           // of these, streams that brought an event
-	waiting      []time.Time   // when those that brought none were sent, oldest first
-	first        time.Duration // the last first event took this long
-	firstAt      time.Time
-	progress     time.Time // of any request, last
+	running      int           // of these, streams that had an event
+	waiting      []time.Time   // send times of streams without an event, oldest first
+	lastFirst    time.Duration // wait for the last first event
+	lastFirstAt  time.Time
+	progress     time.Time // last progress of any request
 	suspectUntil time.Time
-	suspicion    time.Duration // the next suspicion lasts
-	stoppedAt    time.Time     // when a running stream stopped and was moved, last
-	group        fleet.Key     // that the target led when it was last sent to
+	suspicion    time.Duration // duration of the last suspicion; doubled by the next one
+	stalledAt    time.Time     // when a running stream was last moved because of a stall
+	group        fleet.Key     // that the target led at the last send
 	used         time.Time
 }
 
-// still tells whether streams that ran at the target have stopped to bring events.
-func (r *record) still(now time.Time) bool {
-	return r.running > 0 && now.Sub(r.progress) > r.quiet
+// stalled reports whether the running streams of the target are silent beyond the stall timeout.
+func (r *record) stalled(now time.Time) bool {
+	return r.running > 0 && now.Sub(r.progress) > r.stallTimeout
 }
 
-// stopped tells whether running streams stopped lately and nothing came since.
-func (r *record) stopped(now time.Time) bool {
-	return r.still(now) || now.Sub(r.stoppedAt) < stoppedFor && r.progress.Before(r.stoppedAt)
+// stalledRecently reports whether running streams stalled recently without progress since.
+func (r *record) stalledRecently(now time.Time) bool {
+	return r.stalled(now) || now.Sub(r.stalledAt) < recentStall && r.progress.Before(r.stalledAt)
 }
 
-// alive tells whether running streams bring events.
-func (r *record) alive(now time.Time) bool { return r.running > 0 && !r.still(now) }
+// alive reports whether running streams make progress.
+func (r *record) alive(now time.Time) bool { return r.running > 0 && !r.stalled(now) }
 
-// expected is how long the next first event will take at least, by the longest
-// wait of those that wait now and by the last one measured, less the time since: a queue
-// empties while nothing is sent. Counted in full, a target would be left until long after
-// its queue was gone.
-func (r *record) expected(now time.Time) time.Duration {
+// expectedWait returns a lower bound of the wait for the next first event: the longest wait of
+// waiting streams, or the last measured wait less the time since, if more. The time since is
+// taken off because a queue drains while nothing is sent; otherwise a target would be avoided long
+// after its queue was gone.
+func (r *record) expectedWait(now time.Time) time.Duration {
 	d := r.oldestWait(now)
-	if now.Sub(r.firstAt) < firstFor {
-		d = max(d, r.first-now.Sub(r.firstAt))
+	if now.Sub(r.lastFirstAt) < firstEventTTL {
+		d = max(d, r.lastFirst-now.Sub(r.lastFirstAt))
 	}
 	return d
 }
 
-// oldestWait is how long the oldest stream that waits has waited.
+// oldestWait returns how long the oldest waiting stream has waited.
 func (r *record) oldestWait(now time.Time) time.Duration {
 	if len(r.waiting) == 0 {
 		return 0
@@ -64,8 +64,8 @@
 	return now.Sub(r.waiting[0])
 }
 
-// unwait ends the wait of a stream that was sent at a time.
-func (r *record) unwait(sent time.Time) {
+// endWait ends the wait of a stream that was sent at a time.
+func (r *record) endWait(sent time.Time) {
 	if i := slices.Index(r.waiting, sent); i >= 0 {
 		r.waiting = slices.Delete(r.waiting, i, i+1)
 	}
--- a/internal/dispatch/replay_test.go
+++ b/internal/dispatch/replay_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// replica is a queue that gives each stream its first event in turn, one each 50 ms,
-// and 150 ms later at the caller: the quickest first event.
-type replica struct {
-	free   time.Time
-	events []firstEvent // in order of time
+// simReplica is a queue that serves one first event each 50 ms, which reaches the caller 150 ms after
+// the send at the earliest.
+type simReplica struct {
+	freeAt time.Time
+	events []firstEvent // ordered by time
 }
 
 type firstEvent struct{ sent, at time.Time }
@@ -23,21 +23,21 @@
 	objective   = 300 * time.Millisecond
 )
 
-func (r *replica) send(now time.Time) time.Duration {
-	if r.free.Before(now) {
-		r.free = now
+func (r *simReplica) send(now time.Time) time.Duration {
+	if r.freeAt.Before(now) {
+		r.freeAt = now
 	}
-	r.free = r.free.Add(serviceTime)
-	at := r.free.Add(quickest - serviceTime)
+	r.freeAt = r.freeAt.Add(serviceTime)
+	at := r.freeAt.Add(quickest - serviceTime)
 	r.events = append(r.events, firstEvent{now, at})
 	return at.Sub(now)
 }
 
-// replayOverload sends twice what a replica can take for three seconds, then half of
-// it for five. It returns how many of the streams sent in the last four seconds got
-// their first event late, of how many, and how many were refused in all.
+// replayOverload sends twice the capacity of a replica for three seconds, then half of it for five.
+// It returns how many of the streams sent in the last four seconds had a late first event, how many
+// were sent in these, and how many were refused in all.
 func replayOverload(admit func(p *Picker, now time.Time) bool) (late, sent, refused int) {
-	p, r, start := testPicker(), &replica{}, t0
+	p, r, start := testPicker(), &simReplica{}, t0
 	for now := start; now.Sub(start) < 8*time.Second; {
 		for len(r.events) > 0 && !r.events[0].at.After(now) {
 			e := r.events[0]
@@ -48,7 +48,7 @@
 		}
 		if admit(p, now) {
 			p.Pick([]Target{here}, nil, now)
-			p.Waits(&here, quietLeast, now)
+			p.Waits(&here, minStallTimeout, now)
 			took := r.send(now)
 			if now.Sub(start) > 4*time.Second {
 				sent++
@@ -68,65 +68,64 @@
 	return late, sent, refused
 }
 
-// Load: twice the capacity for three seconds, then half of it. What is admitted a
-// second later is in time: the backlog does not outlive its cause.
-func TestBacklogDoesNotOutliveItsCause(t *testing.T) {
+// Twice the capacity for three seconds, then half of it. Streams admitted a second later are in
+// time: the backlog does not outlast the overload.
+func TestBacklogDrainsAfterOverload(t *testing.T) {
 	late, sent, refused := replayOverload(func(p *Picker, now time.Time) bool {
 		return p.Admit([]Target{here}, "m", objective, now).Admitted
 	})
 	must.Eq(t, 0, late)
 	must.Greater(t, 30, sent)
-	must.Less(t, 85, refused, must.Sprint("60 were too many; a replica must not stand idle meanwhile"))
+	must.Less(t, 85, refused, must.Sprint("60 are beyond capacity; the replica must not idle meanwhile"))
 	late, _, _ = replayOverload(func(*Picker, time.Time) bool { return true })
-	must.Greater(t, 10, late, must.Sprint("without the decision it does"))
+	must.Greater(t, 10, late, must.Sprint("without admission the backlog remains"))
 }
 
-// Load: one replica of four dies; streams that wait there for their first event while
-// nothing shows that it lives go on elsewhere, those at a replica with a queue stay.
-func TestOnlyStreamsWithoutASignOfLifeAreMoved(t *testing.T) {
-	p := NewPicker("z", first)
-	patience := p.Patience(StreamLimits{Model: "m", Objective: objective}).First
-	unbounded := p.Patience(StreamLimits{Model: "m"}).First
-	must.Eq(t, defaultFirstEvent, unbounded)
+// One replica of four dies. Streams that wait there for their first event without any progress are
+// moved; those queued at a replica that makes progress stay.
+func TestMoveOfSilentStreams(t *testing.T) {
+	p := NewPicker("z", keepFirst)
+	limit := p.Patience(StreamLimits{Model: "m", Objective: objective}).First
+	defaultLimit := p.Patience(StreamLimits{Model: "m"}).First
+	must.Eq(t, defaultFirstEvent, defaultLimit)
 	for name, c := range map[string]struct {
 		silence Silence
 		move    bool
 	}{
-		"queue at a living replica":   {Silence{Waited: 10 * objective, Patience: patience, Replica: Alive}, false},
-		"replica stands still":        {Silence{Waited: quietLeast, Patience: patience, Replica: Still}, true},
-		"nothing known, early":        {Silence{Waited: objective, Patience: patience, Replica: Unknown}, false},
-		"nothing known, too long":     {Silence{Waited: 2 * objective, Patience: patience, Replica: Unknown}, true},
-		"no objective, early":         {Silence{Waited: defaultFirstEvent / 2, Patience: unbounded, Replica: Unknown}, false},
-		"no objective, too long":      {Silence{Waited: defaultFirstEvent, Patience: unbounded, Replica: Unknown}, true},
-		"begun, its answer lost":      {Silence{Begun: true, Patience: patience, Replica: Alive}, true},
-		"begun, replica stands still": {Silence{Begun: true, Patience: patience, Replica: Still}, true},
+		"queued, replica makes progress": {Silence{Waited: 10 * objective, Patience: limit, Replica: Alive}, false},
+		"replica stalled":                {Silence{Waited: minStallTimeout, Patience: limit, Replica: Still}, true},
+		"nothing known, early":           {Silence{Waited: objective, Patience: limit, Replica: Unknown}, false},
+		"nothing known, too long":        {Silence{Waited: 2 * objective, Patience: limit, Replica: Unknown}, true},
+		"no objective, early":            {Silence{Waited: defaultFirstEvent / 2, Patience: defaultLimit, Replica: Unknown}, false},
+		"no objective, too long":         {Silence{Waited: defaultFirstEvent, Patience: defaultLimit, Replica: Unknown}, true},
+		"begun, answer lost":             {Silence{Begun: true, Patience: limit, Replica: Alive}, true},
+		"begun, replica stalled":         {Silence{Begun: true, Patience: limit, Replica: Still}, true},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.move, c.silence.Move()) })
 	}
 }
 
-// Load: a third of the daemons lose the store; each refuses what needs a proof, and callers come
-// back to others. With 100 ms until then, callers due in 200 ms whose first event takes 75 ms
-// and whose links 6 ms were late.
-func TestCallersComeBackElsewhereInTime(t *testing.T) {
+// A third of the daemons lose the store, refuse what needs a proof, and callers retry at others.
+// With a retry after 100 ms, callers due in 200 ms were late: a first event takes 75 ms and a link
+// 6 ms.
+func TestRetryAtAnotherDaemonMeetsObjective(t *testing.T) {
 	const links, first, due = 6 * time.Millisecond, 75 * time.Millisecond, 200 * time.Millisecond
 	must.Less(t, due, 4*links+ComeBack(Elsewhere)+first)
-	must.Less(t, ComeBack(Busy), ComeBack(Elsewhere), must.Sprint("full replicas need longer"))
+	must.Less(t, ComeBack(Busy), ComeBack(Elsewhere), must.Sprint("full replicas need more time"))
 }
 
-// Callers of a refused request are never sent away for longer than a queue takes.
-func TestComeBack(t *testing.T) {
+// No refused caller is asked to wait for longer than a queue takes to drain.
+func TestRetryAfterIsBounded(t *testing.T) {
 	times := []time.Duration{ComeBack(Elsewhere), ComeBack(Busy), ComeBack(Overload)}
 	must.Positive(t, slices.Min(times))
-	must.Eq(t, comeBackOverload, slices.Max(times))
+	must.Eq(t, retryAfterOverload, slices.Max(times))
 }
 
-// What happened: all machines lost power and started again; callers that reached a daemon
-// before it knew its configuration were told to come back after 0.1 s, came back to another
-// one that knew as little, and were lost: 1,469 and 2,121 refusals in four seconds. Why: the
-// time to come back was that of a daemon that is alone in its trouble. What settled it:
-// "no_configuration" twice for one request, 0.1 s apart.
-func TestCallersOfADaemonThatStartsComeBackWhenItServes(t *testing.T) {
+// Guards against a short retry delay while daemons start. After all machines lost power, callers
+// refused by a daemon without configuration retried after 0.1 s at another one without it, got
+// "no_configuration" twice and gave up: 1,469 and 2,121 refusals in four seconds. The delay assumed
+// that only one daemon was affected.
+func TestRetryAfterStartingCoversStart(t *testing.T) {
 	must.GreaterEq(t, time.Second, ComeBack(Starting))
 	must.Less(t, ComeBack(Overload), ComeBack(Elsewhere))
 }
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -7,37 +7,37 @@
 	"github.com/shoenig/test/must"
 )
 
-// sharedLoad is what all daemons of a large deployment bear together, and what its
-// operators allow: repeats up to the rule's share of the requests, and extra more.
+// sharedLoad is the load on all daemons of a large deployment together, and the limit on their
+// repeats: the rule's ratio of the requests, and extra more.
 type sharedLoad struct {
 	daemons  int
-	every    time.Duration // between two requests to one daemon
+	interval time.Duration // between two requests to one daemon
 	failFrom time.Duration // from then on every second request fails at first
-	ends     time.Duration
+	duration time.Duration
 	extra    int
 	restarts []time.Duration // of all daemons
 }
 
-// sharedCounts is what was seen, by steps of halfSecond.
+// sharedCounts are counts per step of halfSecond.
 type sharedCounts struct{ requests, repeats []int }
 
 const halfSecond = 500 * time.Millisecond
 
-// play returns what the daemons of the load did.
-func (l sharedLoad) play() sharedCounts {
-	steps := int(l.ends / halfSecond)
+// simulate returns what the daemons did.
+func (l sharedLoad) simulate() sharedCounts {
+	steps := int(l.duration / halfSecond)
 	counts := sharedCounts{make([]int, steps), make([]int, steps)}
-	begun := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	for d := range l.daemons {
-		offset := l.every * time.Duration(d) / time.Duration(l.daemons)
+		offset := l.interval * time.Duration(d) / time.Duration(l.daemons)
 		budget, restarts := NewBudget(), l.restarts
-		for i, at := 0, offset; at < l.ends; i, at = i+1, at+l.every {
+		for i, at := 0, offset; at < l.duration; i, at = i+1, at+l.interval {
 			if len(restarts) > 0 && at >= restarts[0] {
 				budget, restarts = NewBudget(), restarts[1:]
 			}
-			budget.Request(testRule, begun.Add(at))
+			budget.Request(testRule, start.Add(at))
 			counts.requests[at/halfSecond]++
-			if at >= l.failFrom && i%2 == 0 && budget.Repeat(testRule, begun.Add(at)) {
+			if at >= l.failFrom && i%2 == 0 && budget.Repeat(testRule, start.Add(at)) {
 				counts.repeats[at/halfSecond]++
 			}
 		}
@@ -45,9 +45,8 @@
 	return counts
 }
 
-// excess returns by how many repeats the worst window exceeds what is allowed; its
-// requests are those of the window, of the one before or of the one between, whichever
-// had most.
+// excess returns by how many repeats the worst window exceeds the limit. Its requests are those of
+// the window, of the previous one or of the one halfway between, whichever is most.
 func (l sharedLoad) excess(c sharedCounts) int {
 	sum := func(counts []int, from, to int) (n int) {
 		for _, one := range counts[max(from, 0):max(to, 0)] {
@@ -64,15 +63,14 @@
 	return worst
 }
 
-// Half of the answers of all engines failed, and in the middle of it all daemons were
-// killed and started again. Each new process began with a budget of its own, beside what
-// the one before had already repeated in the same ten seconds, so the repeats of all
-// daemons together passed the bound that operators set:
+// Guards against budgets that restarts renew. Half of the answers of all engines failed, and all
+// daemons were killed and restarted meanwhile. New processes started with a budget beside what their
+// predecessors had repeated in the same ten seconds, and together exceeded the limit:
 //
 //	killed once:   1652 repeats in 10 s for 6915 requests, 1648 allowed
 //	three times:   1856 repeats in 10 s for 6888 requests, 1643 allowed
-//	not killed:    kept, same load
-func TestRestartsKeepTheSharedBudget(t *testing.T) {
+//	not killed:    within the limit, same load
+func TestRestartsStayWithinSharedBudget(t *testing.T) {
 	for name, restarts := range map[string][]time.Duration{
 		"never":       nil,
 		"once":        {13 * time.Second},
@@ -80,8 +78,8 @@
 		"each second": {10 * time.Second, 11 * time.Second, 12 * time.Second, 13 * time.Second, 14 * time.Second, 15 * time.Second, 16 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			load := sharedLoad{daemons: 90, every: time.Second / 7, failFrom: 6 * time.Second, ends: 30 * time.Second, extra: 265, restarts: restarts}
-			must.LessEq(t, 0, load.excess(load.play()), must.Sprint("repeats beyond what is allowed"))
+			load := sharedLoad{daemons: 90, interval: time.Second / 7, failFrom: 6 * time.Second, duration: 30 * time.Second, extra: 265, restarts: restarts}
+			must.LessEq(t, 0, load.excess(load.simulate()), must.Sprint("repeats beyond the limit"))
 		})
 	}
 }
--- /dev/null
+++ b/internal/dispatch/retryafter.go
@@ -0,0 +1,63 @@
+package dispatch
+
+import "time"
+
+// RefusalReason is the reason of a refusal, as far as it determines the retry delay.
+type RefusalReason int
+
+// Reasons of refusals.
+const (
+	// Elsewhere: this daemon can't resolve the cause itself; another one, to which a retry goes,
+	// may serve at once.
+	Elsewhere RefusalReason = iota
+	// Busy: the upstreams that were tried are full or gone.
+	Busy
+	// Overload: all replicas have queues.
+	Overload
+	// Starting: this daemon has just started and has no configuration yet. Callers reach such a
+	// daemon while most daemons of its zone start or have just stopped, so another one is no
+	// better.
+	Starting
+)
+
+// Retry delays. That for overload is about the time in which a queue of one batch drains.
+const (
+	retryAfterBusy = 100 * time.Millisecond
+	// retryAfterLocal leaves most of the objective: another daemon serves at once.
+	retryAfterLocal    = 10 * time.Millisecond
+	retryAfterOverload = 400 * time.Millisecond
+	// retryAfterStarting is about the time from start to the first served request after all
+	// machines lost power: earlier retries are refused again.
+	retryAfterStarting = time.Second
+)
+
+// ComeBack returns the retry delay for a refused request.
+func ComeBack(r RefusalReason) time.Duration {
+	switch r {
+	case Overload:
+		return retryAfterOverload
+	case Starting:
+		return retryAfterStarting
+	case Elsewhere:
+		return retryAfterLocal
+	}
+	return retryAfterBusy
+}
+
+// maxRetryAfter bounds retry delays that instances ask for.
+const maxRetryAfter = 10 * time.Second
+
+// ComeBackAfter returns the retry delay if instances have capacity again after a time.
+func ComeBackAfter(free time.Duration) time.Duration {
+	return min(max(free, retryAfterBusy), maxRetryAfter)
+}
+
+// maxWaitShare is the share of the objective beyond the fastest answer that a request may wait
+// for an instance. The remainder is for other requests that waited for the same instance.
+const maxWaitShare = 0.5
+
+// WorthWaiting reports whether a request with some of its objective left should wait for an
+// instance that is free after a time, where the fastest answer takes floor.
+func WorthWaiting(free, left, floor time.Duration) bool {
+	return free > 0 && free <= time.Duration(maxWaitShare*float64(left-floor))
+}
--- a/internal/dispatch/quiet_test.go
+++ b/internal/dispatch/stall_test.go
@@ -9,16 +9,16 @@
 	"pearlanding/internal/routes"
 )
 
-// readingEngine writes a whole batch at 12.3 ms a step and reads up to 2,048 prompt
-// tokens a step in another 44.5 ms: a pass of five steps takes 284 ms at pace 1.
+// readingEngine runs a full batch at 12.3 ms a step and reads up to 2,048 prompt tokens a step in
+// another 44.5 ms: a pass of five steps takes 284 ms at pace 1.
 func readingEngine() *routes.Engine {
 	return &routes.Engine{Slots: 26, Step: 6070 * time.Microsecond, PerRequest: 241 * time.Microsecond,
 		ReadPerSecond: 46000, Chunk: 2048, Stride: 5}
 }
 
-// Load: long prompts keep coming to a replica with a full batch, so that its streams
-// pause for whole passes of reading. It does not stand still, and stays a target.
-func TestReplicaThatReadsLongPromptsDoesNotStandStill(t *testing.T) {
+// Long prompts keep arriving at a replica with a full batch, so that its streams pause for whole
+// passes of reading. It is not stalled and stays a target.
+func TestReplicaReadingLongPromptsIsNotStalled(t *testing.T) {
 	engine, start := readingEngine(), time.Unix(1000, 0)
 	p := NewPicker("a", func(int) int { return 0 })
 	busy := Target{Instance: "busy", Zone: "a", Quiet: QuietFor(engine, routes.Model{Pace: 1})}
@@ -31,9 +31,9 @@
 	}
 }
 
-// Load: a member of a replica dies while streams run. Their silence is noticed a
-// little after the longest pass.
-func TestDeadReplicaStandsStillAfterItsLongestPass(t *testing.T) {
+// A member of a replica dies while streams run. The stall is detected shortly after the longest
+// pass.
+func TestDeadReplicaIsStalledAfterLongestPass(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPicker("a", func(int) int { return 0 })
 	dead := Target{Instance: "dead", Zone: "a", Quiet: QuietFor(readingEngine(), routes.Model{Pace: 1})}
@@ -44,8 +44,8 @@
 	must.Eq(t, Still, p.Health(&Target{Instance: "dead"}, now.Add(400*time.Millisecond)))
 }
 
-// Where costs are not told, or passes are short, the least patience holds.
-func TestQuietForAtLeast(t *testing.T) {
-	must.Eq(t, quietLeast, QuietFor(&routes.Engine{}, routes.Model{Pace: 1}))
-	must.Eq(t, quietLeast, QuietFor(readingEngine(), routes.Model{Pace: 0.4}))
+// Without published costs, or with short passes, the minimum stall timeout applies.
+func TestStallTimeoutHasMinimum(t *testing.T) {
+	must.Eq(t, minStallTimeout, QuietFor(&routes.Engine{}, routes.Model{Pace: 1}))
+	must.Eq(t, minStallTimeout, QuietFor(readingEngine(), routes.Model{Pace: 0.4}))
 }
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -10,27 +10,27 @@
 
 // Urgencies. Resumed goes before InTime, which goes before Late.
 const (
-	// InTime: the answer may still come within its objective.
+	// InTime: the answer may still meet its objective.
 	InTime Urgency = iota
-	// Resumed: a part of the answer has gone out in time, and its next event is due.
+	// Resumed: part of the answer was sent in time, and its next event is due.
 	Resumed
-	// Late: it can't come in time. It is served when nobody waits that still could be.
+	// Late: the answer can't meet its objective. It is served when no request waits that still can.
 	Late
 )
 
-// StreamProgress is how far a stream has come.
+// StreamProgress is the progress of a stream.
 type StreamProgress struct {
-	Waited    time.Duration // by the caller, earlier attempts of its own included
+	Waited    time.Duration // by the caller, including its own earlier attempts
 	Objective time.Duration // for the first event; 0: none
 	Gap       time.Duration // for pauses; 0: none
-	Begun     bool          // an event went out
-	First     time.Duration // when the first one did
-	Pause     time.Duration // the longest until now
+	Begun     bool          // an event was sent to the caller
+	First     time.Duration // wait for the first event
+	Pause     time.Duration // longest pause so far
 }
 
-// Urgency tells how urgent a stream's next send is. After an outage two seconds of callers
-// come at once, most of them late already: served in the order of their coming, they make
-// all who come after them late too.
+// Urgency returns the urgency of a stream's next send. After an outage two seconds of callers
+// arrive at once, most of them already late. Served in order of arrival, they would make all later
+// callers late too.
 func (p StreamProgress) Urgency() Urgency {
 	missed := p.Objective > 0 && (p.Begun && p.First > p.Objective || !p.Begun && p.Waited > p.Objective) ||
 		p.Gap > 0 && p.Pause > p.Gap
@@ -43,22 +43,22 @@
 	return InTime
 }
 
-// maxRoutes bounds the routes whose callers' waits are kept.
-const maxRoutes = 4096
+// maxTrackedRoutes bounds the routes for which callers' time limits are kept.
+const maxTrackedRoutes = 4096
 
-// firstAskPart of the longest wait seen on a route is what a caller that asks first has left at
-// least: callers' own limits differ.
-const firstAskPart = 0.8
+// firstAttemptShare of the longest time limit seen on a route is the least that a caller has left on
+// its first attempt: time limits differ between callers.
+const firstAttemptShare = 0.8
 
-// CallerWaits knows for how long the callers of each route wait when they ask first: one that has
-// much less time left has asked before. Safe for concurrent use.
+// CallerWaits tracks the time limits of the callers of each route on their first attempt: a caller
+// with much less time left has made an attempt before. Safe for concurrent use.
 type CallerWaits struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration // by route
 }
 
-// Elapsed returns for how long a caller has waited at least that has so much time left; 0: not
-// told, or not known.
+// Elapsed returns the least time that a caller with some time left has already waited; 0: not sent,
+// or unknown.
 func (w *CallerWaits) Elapsed(route string, left time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,12 +67,12 @@
 		return 0
 	}
 	if left <= longest {
-		return max(time.Duration(firstAskPart*float64(longest))-left, 0)
+		return max(time.Duration(firstAttemptShare*float64(longest))-left, 0)
 	}
 	if w.longest == nil {
 		w.longest = map[string]time.Duration{}
 	}
-	if known || len(w.longest) < maxRoutes {
+	if known || len(w.longest) < maxTrackedRoutes {
 		w.longest[route] = left
 	}
 	return 0
