--- a/internal/backpressure/doc.go
+++ b/internal/backpressure/doc.go
@@ -1,8 +1,8 @@
-// Package backpressure keeps what upstream instances say of themselves in their answers, and
-// decides by it whether a request may be sent to one now.
+// Package backpressure tracks what upstream instances report about themselves in their answers and
+// decides whether a request may be sent to an instance now.
 //
-// A limit that an instance names holds for all daemons together. Grants, at one daemon of each
-// failure domain, hands permits out at a part of the limit; Gate, at every daemon, sends to a
-// limited instance only with a permit. What is known is exchanged as Updates. Time is passed in;
-// docs/design/backpressure.md gives the reasons and the sums.
+// The request limit of an instance applies to all daemons together. Grants, at one daemon of each
+// failure domain, grants permits for a share of the limit; Gate, at every daemon, sends to a limited
+// instance only with a permit. Daemons exchange known limits as Updates. Time is passed in.
+// docs/design/backpressure.md gives the reasons and the calculations.
 package backpressure
--- a/internal/backpressure/fleet_test.go
+++ b/internal/backpressure/fleet_test.go
@@ -13,55 +13,55 @@
 	"go.uber.org/zap"
 )
 
-// The rule on engines that name a limit, as the deployments set it.
+// The rule on instances with a limit, as deployments set it.
 const (
-	window    = 4 * time.Second
-	contact   = 3 * time.Second        // from when a limit is named first
-	toldAfter = 500 * time.Millisecond // from when a daemon passed such an answer on
-	// knownAfter is how long after its start a daemon counts as told in any case, which is
-	// stricter than the rule: others tell it.
-	knownAfter = 3 * time.Second
-	ratio      = 1.5
-	extra      = 5.0
+	window       = 4 * time.Second
+	firstContact = 3 * time.Second        // after the limit is first named
+	awareAfter   = 500 * time.Millisecond // after a daemon passed the first such answer on to its caller
+	// awareAfterStart is how long after its start a daemon counts as aware in any case. This is stricter
+	// than the rule, as others have to inform it.
+	awareAfterStart = 3 * time.Second
+	ratio           = 1.5
+	extra           = 5.0
 )
 
-var seeds = flag.Uint64("seeds", 1, "how many seeds the simulated fleets play")
+var seeds = flag.Uint64("seeds", 1, "number of seeds of the simulated fleets")
 
-// step is the simulation's.
+// step is the time step of the simulation.
 const step = 10 * time.Millisecond
 
-// simDaemon is one daemon before the simulated instance.
+// simDaemon is one daemon that sends to the simulated instance.
 type simDaemon struct {
-	name  string
-	zone  int
-	gate  *Gate
-	phase time.Duration // of its exchanges
-	rate  float64       // requests a second that may go to the instance
-	born  time.Time     // of its process
-	told  time.Time     // when it passed on the first answer with the limit in force; zero: none
-	cut   bool          // from its relay
+	name          string
+	zone          int
+	gate          *Gate
+	phase         time.Duration // of its exchanges
+	rate          float64       // requests a second that may go to the instance
+	startedAt     time.Time     // of its process
+	firstAnswerAt time.Time     // when it passed on the first answer with the current limit; zero: none
+	cutOff        bool          // from its relay
 }
 
-// simFleet plays daemons of several zones, their relays and one instance.
+// simFleet simulates daemons of several zones, their relays and one instance.
 type simFleet struct {
 	rng     *rand.Rand
 	now     time.Time
 	daemons []*simDaemon
 	zones   []*simZone
-	limit   float64 // that the instance names; 0: none
-	pending []pending
+	limit   float64 // named by the instance; 0: none
+	pending []scheduled
 	arrived []arrival
-	stale   bool // what is shared comes late, or not
+	delayed bool // exchanges are delayed or lost
 }
 
-// simZone is a zone; relays hold its record, as far as they know.
+// simZone is a zone with the relays that consider themselves current.
 type simZone struct {
 	relays []*simDaemon
 	grants map[*simDaemon]*Grants
 }
 
-// pending is something that happens later.
-type pending struct {
+// scheduled is a function to run later.
+type scheduled struct {
 	at time.Time
 	do func()
 }
@@ -69,12 +69,12 @@
 // arrival is a request that reached the instance.
 type arrival struct {
 	at    time.Time
-	told  bool // its daemon had been told of the limit
+	aware bool // its daemon had learned of the limit
 	limit float64
 }
 
 func newFleet(seed uint64, daemons, zones int, perSecond float64) *simFleet {
-	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: begin}
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: simStart}
 	for range zones {
 		f.zones = append(f.zones, &simZone{grants: map[*simDaemon]*Grants{}})
 	}
@@ -89,15 +89,15 @@
 	return f
 }
 
-// restart begins a new life of a daemon's process.
+// restart starts a new process of a daemon.
 func (f *simFleet) restart(d *simDaemon) {
-	d.born, d.told = f.now, time.Time{}
+	d.startedAt, d.firstAnswerAt = f.now, time.Time{}
 	d.gate = NewGate(func() int { return len(f.daemons) }, func(least, most time.Duration) time.Duration {
 		return least + time.Duration(f.rng.Int64N(int64(most-least)))
 	}, zap.NewNop())
 }
 
-// elect makes a daemon its zone's relay, beside any other.
+// elect makes a daemon a relay of its zone, in addition to others.
 func (f *simFleet) elect(d *simDaemon) {
 	z := f.zones[d.zone]
 	z.relays = append(z.relays, d)
@@ -112,15 +112,15 @@
 	return Shares{Domain: names[zone], Domains: names, Count: len(names)}
 }
 
-func (f *simFleet) later(d time.Duration, do func()) {
-	f.pending = append(f.pending, pending{f.now.Add(d), do})
+func (f *simFleet) after(d time.Duration, do func()) {
+	f.pending = append(f.pending, scheduled{f.now.Add(d), do})
 }
 
-// run plays for a while.
-func (f *simFleet) run(lasts time.Duration) {
-	for end := f.now.Add(lasts); f.now.Before(end); f.now = f.now.Add(step) {
-		var due []pending
-		f.pending = slices.DeleteFunc(f.pending, func(p pending) bool {
+// run advances the simulation.
+func (f *simFleet) run(duration time.Duration) {
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(step) {
+		var due []scheduled
+		f.pending = slices.DeleteFunc(f.pending, func(p scheduled) bool {
 			if !f.now.Before(p.at) {
 				due = append(due, p)
 			}
@@ -130,7 +130,7 @@
 			p.do()
 		}
 		for _, d := range f.daemons {
-			if (f.now.Sub(begin)+d.phase)%(250*time.Millisecond) == 0 {
+			if (f.now.Sub(simStart)+d.phase)%(250*time.Millisecond) == 0 {
 				f.exchange(d)
 			}
 			if f.rng.Float64() < d.rate*step.Seconds() {
@@ -140,15 +140,15 @@
 	}
 }
 
-// way is how long a message between daemons takes.
-func (f *simFleet) way() time.Duration {
-	if f.stale && f.rng.IntN(4) == 0 {
+// delay returns the delay of a message between daemons.
+func (f *simFleet) delay() time.Duration {
+	if f.delayed && f.rng.IntN(4) == 0 {
 		return time.Duration(f.rng.IntN(200)) * time.Millisecond
 	}
 	return time.Duration(f.rng.IntN(5)) * time.Millisecond
 }
 
-// exchange is what a daemon does four times a second.
+// exchange is a daemon's exchange with its relay, or of a relay with others, four times a second.
 func (f *simFleet) exchange(d *simDaemon) {
 	z, asked, known := f.zones[d.zone], f.now, !d.gate.Quiet()
 	if slices.Contains(z.relays, d) {
@@ -157,28 +157,28 @@
 			for _, relay := range other.relays {
 				if relay != d && !d.gate.Quiet() {
 					updates := d.gate.Updates(asked)
-					f.later(f.way(), func() { relay.gate.Merge(updates, ReceivedAt{asked, f.now}) })
+					f.after(f.delay(), func() { relay.gate.Merge(updates, ReceivedAt{asked, f.now}) })
 				}
 			}
 		}
 		return
 	}
-	if len(z.relays) == 0 || d.cut || f.stale && f.rng.IntN(10) == 0 {
+	if len(z.relays) == 0 || d.cutOff || f.delayed && f.rng.IntN(10) == 0 {
 		return
 	}
 	relay, updates := z.relays[f.rng.IntN(len(z.relays))], d.gate.Updates(asked)
-	f.later(f.way(), func() {
+	f.after(f.delay(), func() {
 		if !slices.Contains(z.relays, relay) {
-			return // it died
+			return // the relay died
 		}
 		relay.gate.Merge(updates, ReceivedAt{f.now.Add(-200 * time.Millisecond), f.now})
 		var permits []Permits
 		if known {
 			permits = z.grants[relay].Grant(d.name, relay.gate.Limited(), f.shares(d.zone), f.now)
 		}
-		told := relay.gate.Updates(f.now)
-		f.later(f.way(), func() {
-			d.gate.Merge(told, ReceivedAt{asked, f.now})
+		reply := relay.gate.Updates(f.now)
+		f.after(f.delay(), func() {
+			d.gate.Merge(reply, ReceivedAt{asked, f.now})
 			if known {
 				d.gate.Granted(permits, asked)
 			}
@@ -186,9 +186,9 @@
 	})
 }
 
-// request sends a request to the instance if it may, after the time that a connection takes.
+// request sends a request to the instance if it may, after the connection time.
 func (f *simFleet) request(d *simDaemon) {
-	permit, ok := d.gate.Take(life, f.now)
+	permit, ok := d.gate.Take(testIncarnation, f.now)
 	if !ok {
 		return
 	}
@@ -196,34 +196,34 @@
 	if f.rng.IntN(20) == 0 {
 		connect = time.Duration(f.rng.IntN(400)) * time.Millisecond
 	}
-	f.later(connect, func() {
-		if gate.Closed(life, permit, f.now) {
+	f.after(connect, func() {
+		if gate.Closed(testIncarnation, permit, f.now) {
 			return
 		}
 		limit, refused := f.limit, f.rng.IntN(10) == 0
-		told := !d.told.IsZero() && f.now.Sub(d.told) >= toldAfter || f.now.Sub(d.born) >= knownAfter
-		f.arrived = append(f.arrived, arrival{f.now, told, limit})
-		f.later(time.Duration(1+f.rng.IntN(150))*time.Millisecond, func() {
+		aware := !d.firstAnswerAt.IsZero() && f.now.Sub(d.firstAnswerAt) >= awareAfter || f.now.Sub(d.startedAt) >= awareAfterStart
+		f.arrived = append(f.arrived, arrival{f.now, aware, limit})
+		f.after(time.Duration(1+f.rng.IntN(150))*time.Millisecond, func() {
 			if d.gate != gate {
-				return // its process is another one
+				return // restarted meanwhile
 			}
-			gate.Observe(life, Signals{Limit: limit, Conclusive: !refused}, sent, f.now)
+			gate.Observe(testIncarnation, Signals{Limit: limit, Conclusive: !refused}, sent, f.now)
 			switch {
-			case limit > 0 && d.told.IsZero():
-				d.told = f.now
+			case limit > 0 && d.firstAnswerAt.IsZero():
+				d.firstAnswerAt = f.now
 			case limit == 0:
-				d.told = time.Time{}
+				d.firstAnswerAt = time.Time{}
 			}
 		})
 	})
 }
 
-// worst returns the window of told daemons' arrivals that is furthest over what its largest limit
-// allows, from a time on, as a difference.
-func (f *simFleet) worst(from time.Time) (over float64, arrivals int) {
+// worstWindow returns the window of arrivals from aware daemons, from a time on, that exceeds the
+// largest limit in it by most, as a difference.
+func (f *simFleet) worstWindow(from time.Time) (over float64, arrivals int) {
 	over = math.Inf(-1)
 	for i, first := range f.arrived {
-		if first.at.Before(from) || !first.told {
+		if first.at.Before(from) || !first.aware {
 			continue
 		}
 		n, limit := 0, first.limit
@@ -232,7 +232,7 @@
 				break
 			}
 			limit = max(limit, a.limit)
-			if a.told {
+			if a.aware {
 				n++
 			}
 		}
@@ -246,14 +246,14 @@
 	return over, arrivals
 }
 
-// sizes are deployments: daemons, zones, and how many requests of the 50 that a limit allows in
-// 25 s are sent at least. A permit is lost that its daemon has no request for.
+// sizes are deployments: daemons, zones, and the least number sent of the 50 requests that a limit
+// allows in 25 s. A permit is lost if its daemon has no request for it.
 var sizes = []struct{ daemons, zones, used int }{{9, 3, 25}, {71, 3, 12}, {300, 5, 2}, {390, 11, 2}}
 
-// Guards against an instance's limit that all daemons together exceed, however many they are,
-// while relays die, two serve one zone, daemons are cut off from theirs or start again, and
-// what is shared comes late.
-func TestAllDaemonsTogetherKeepALimit(t *testing.T) {
+// Guards against exceeding an instance's limit by all daemons together, for any number of daemons,
+// while relays die, two relays serve one zone, daemons lose their relay or restart, and exchanges are
+// delayed.
+func TestAllDaemonsTogetherStayWithinLimit(t *testing.T) {
 	for _, size := range sizes {
 		for _, limit := range []float64{0.2, 0.5, 2, 10, 50} {
 			for seed := range *seeds {
@@ -264,9 +264,9 @@
 					f.limit = limit
 					named := f.now
 					f.run(10 * time.Second)
-					f.trouble()
-					over, n := f.worst(named.Add(contact))
-					t.Logf("%d arrivals, %.1f under what is allowed", n, -over)
+					f.injectFaults()
+					over, n := f.worstWindow(named.Add(firstContact))
+					t.Logf("%d arrivals, %.1f under the limit", n, -over)
 					must.LessEq(t, 0.0, over, must.Sprintf("%d arrivals in a window", n))
 				})
 			}
@@ -274,23 +274,23 @@
 	}
 }
 
-// trouble plays faults for a minute.
-func (f *simFleet) trouble() {
+// injectFaults injects faults for a minute.
+func (f *simFleet) injectFaults() {
 	for range 10 {
 		z := f.zones[f.rng.IntN(len(f.zones))]
 		d := f.daemons[f.rng.IntN(len(f.daemons))]
 		switch f.rng.IntN(5) {
-		case 0: // a relay dies, another one follows after a while
+		case 0: // a relay dies and is replaced after a while
 			if len(z.relays) > 0 {
 				relay := z.relays[0]
 				z.relays = z.relays[1:]
 				f.restart(relay)
-				f.later(time.Duration(f.rng.IntN(5000))*time.Millisecond, func() { f.elect(relay) })
+				f.after(time.Duration(f.rng.IntN(5000))*time.Millisecond, func() { f.elect(relay) })
 			}
 		case 1: // a second relay serves the zone for a while
 			if !slices.Contains(f.zones[d.zone].relays, d) {
 				f.elect(d)
-				f.later(3*time.Second, func() {
+				f.after(3*time.Second, func() {
 					of := f.zones[d.zone]
 					if len(of.relays) > 1 {
 						of.relays = of.relays[1:]
@@ -300,17 +300,17 @@
 		case 2:
 			f.restart(d)
 		case 3:
-			d.cut = true
-			f.later(8*time.Second, func() { d.cut = false })
+			d.cutOff = true
+			f.after(8*time.Second, func() { d.cutOff = false })
 		case 4:
-			f.stale = !f.stale
+			f.delayed = !f.delayed
 		}
 		f.run(6 * time.Second)
 	}
 }
 
-// Guards against a limit that daemons without any relay exceed together.
-func TestDaemonsWithoutRelaysKeepALimitTogether(t *testing.T) {
+// Guards against exceeding a limit by daemons without any relay.
+func TestDaemonsWithoutRelaysStayWithinLimit(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
 			t.Parallel()
@@ -321,15 +321,15 @@
 				z.relays = nil
 			}
 			f.run(10 * time.Minute)
-			over, n := f.worst(begin.Add(contact))
-			t.Logf("%.1f under what is allowed", -over)
+			over, n := f.worstWindow(simStart.Add(firstContact))
+			t.Logf("%.1f under the limit", -over)
 			must.LessEq(t, 0.0, over, must.Sprintf("%d arrivals in a window", n))
 		})
 	}
 }
 
-// Guards against daemons that go on without an instance whose limit has ended, and against a
-// limit that nobody uses.
+// Guards against daemons that don't return to an instance whose limit has ended, and against an
+// unused limit.
 func TestLimitIsUsedAndItsEndReachesAllDaemons(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
@@ -339,7 +339,7 @@
 			f.run(30 * time.Second)
 			n := 0
 			for _, a := range f.arrived {
-				if a.at.Sub(begin) > 5*time.Second {
+				if a.at.Sub(simStart) > 5*time.Second {
 					n++
 				}
 			}
@@ -348,7 +348,7 @@
 			f.limit = 0
 			f.run(10 * time.Second)
 			for _, d := range f.daemons {
-				must.True(t, d.gate.Open(life, f.now), must.Sprint(d.name))
+				must.True(t, d.gate.Open(testIncarnation, f.now), must.Sprint(d.name))
 			}
 		})
 	}
--- a/internal/backpressure/grants.go
+++ b/internal/backpressure/grants.go
@@ -10,35 +10,35 @@
 
 // Parameters of grants.
 const (
-	// grantPart of a limit is granted: two daemons of one domain may both grant while the one
-	// takes the other's place.
-	grantPart = 0.9
-	// grantBurst is how much of what was not asked for is kept, as time; one permit at least.
+	// grantShare is the share of a limit that is granted: while one daemon of a domain replaces
+	// another, both may grant.
+	grantShare = 0.9
+	// grantBurst is how much unrequested grant capacity is kept, as time; at least one permit.
 	grantBurst = 500 * time.Millisecond
-	// maxGrantors is how many domains grant permits for one instance. Each adds one permit to
-	// what a window may see, whatever the limit.
-	maxGrantors = 5
-	// askingFor is how long after its last question a daemon counts as asking.
-	askingFor = time.Second
-	// turnFor is how long a permit is kept for the daemon whose turn it is.
-	turnFor = 300 * time.Millisecond
+	// maxGrantingDomains is the number of domains that grant permits for one instance. Each may add
+	// one request to a window, whatever the limit.
+	maxGrantingDomains = 5
+	// askerTTL is how long a daemon counts as asking after its last request for permits.
+	askerTTL = time.Second
+	// turnTimeout is how long a permit is held for the daemon whose turn it is.
+	turnTimeout = 300 * time.Millisecond
 )
 
-// Shares says which part of limits a domain grants.
+// Shares determines which share of each limit a domain grants.
 type Shares struct {
 	Domain  string
-	Domains []string // known ones; those beyond maxGrantors take turns by instance
-	Count   int      // of the deployment's domains
+	Domains []string // known domains; maxGrantingDomains of them are selected per instance
+	Count   int      // number of domains of the deployment
 }
 
-// of returns the part of an instance's limit; 0: other domains grant.
-func (s Shares) of(instance string) float64 {
-	if s.Count <= maxGrantors {
-		return grantPart / float64(max(s.Count, 1))
+// share returns the share of an instance's limit; 0: other domains grant.
+func (s Shares) share(instance string) float64 {
+	if s.Count <= maxGrantingDomains {
+		return grantShare / float64(max(s.Count, 1))
 	}
 	ranked := slices.Clone(s.Domains)
 	slices.SortFunc(ranked, func(a, b string) int {
-		x, y := weight(instance, a), weight(instance, b)
+		x, y := rendezvousWeight(instance, a), rendezvousWeight(instance, b)
 		switch {
 		case x > y:
 			return -1
@@ -47,104 +47,104 @@
 		}
 		return 0
 	})
-	if slices.Contains(ranked[:min(maxGrantors, len(ranked))], s.Domain) {
-		return grantPart / maxGrantors
+	if slices.Contains(ranked[:min(maxGrantingDomains, len(ranked))], s.Domain) {
+		return grantShare / maxGrantingDomains
 	}
 	return 0
 }
 
-// weight orders domains for an instance (rendezvous hashing).
-func weight(instance, domain string) uint64 {
+// rendezvousWeight orders domains for an instance (rendezvous hashing).
+func rendezvousWeight(instance, domain string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(instance + "\x00" + domain)) // never fails
 	return h.Sum64()
 }
 
-// Grants hands permits for limited instances to the daemons of one domain. Whoever takes over
-// begins with none. The zero value is ready; safe for concurrent use.
+// Grants grants permits for limited instances to the daemons of one domain. After a change of the
+// granting daemon it starts empty. The zero value is ready to use. Safe for concurrent use.
 type Grants struct {
-	mu    sync.Mutex
-	by    map[Life]*grant
-	swept time.Time
+	mu      sync.Mutex
+	grants  map[Life]*grant
+	sweptAt time.Time
 }
 
-// grant is the permits of one life.
+// grant holds the permits of one incarnation.
 type grant struct {
-	permits float64
-	at      time.Time            // until when permits were added
-	asked   map[string]time.Time // when each daemon asked last
-	given   map[string]time.Time // when each was given a permit last
+	permits    float64
+	refilledAt time.Time            // time up to which permits were added
+	askedAt    map[string]time.Time // last request of each daemon
+	grantedAt  map[string]time.Time // last grant to each daemon
 }
 
-// Grant returns the permits for lives with a limit that a daemon gets now.
+// Grant returns the permits that a daemon receives now for the limited incarnations.
 func (g *Grants) Grant(to string, limited map[Life]float64, shares Shares, now time.Time) []Permits {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
 	var out []Permits
-	for life, limit := range limited {
-		if n := g.of(life, now).take(to, shares.of(life.Instance)*limit, now); n > 0 {
-			out = append(out, Permits{life.Instance, life.Born, n})
+	for inc, limit := range limited {
+		if n := g.grant(inc, now).take(to, shares.share(inc.Instance)*limit, now); n > 0 {
+			out = append(out, Permits{inc.Instance, inc.Born, n})
 		}
 	}
 	return out
 }
 
-func (g *Grants) of(life Life, now time.Time) *grant {
-	if g.by == nil {
-		g.by = map[Life]*grant{}
+func (g *Grants) grant(inc Life, now time.Time) *grant {
+	if g.grants == nil {
+		g.grants = map[Life]*grant{}
 	}
-	one := g.by[life]
-	if one == nil {
-		one = &grant{at: now, asked: map[string]time.Time{}, given: map[string]time.Time{}}
-		g.by[life] = one
+	entry := g.grants[inc]
+	if entry == nil {
+		entry = &grant{refilledAt: now, askedAt: map[string]time.Time{}, grantedAt: map[string]time.Time{}}
+		g.grants[inc] = entry
 	}
-	return one
+	return entry
 }
 
-// sweep forgets what nobody asks for. Permits that come back after it begin with none.
+// sweep removes daemons and incarnations that nobody asks for. They start again without permits.
 func (g *Grants) sweep(now time.Time) {
-	if now.Sub(g.swept) < askingFor/2 {
+	if now.Sub(g.sweptAt) < askerTTL/2 {
 		return
 	}
-	g.swept = now
-	for life, one := range g.by {
-		for daemon, at := range one.asked {
-			if now.Sub(at) > askingFor {
-				delete(one.asked, daemon)
-				delete(one.given, daemon)
+	g.sweptAt = now
+	for inc, entry := range g.grants {
+		for daemon, at := range entry.askedAt {
+			if now.Sub(at) > askerTTL {
+				delete(entry.askedAt, daemon)
+				delete(entry.grantedAt, daemon)
 			}
 		}
-		if now.Sub(one.at) > askingFor {
-			delete(g.by, life)
+		if now.Sub(entry.refilledAt) > askerTTL {
+			delete(g.grants, inc)
 		}
 	}
 }
 
-// take gives a daemon its part of the permits at a rate.
-func (o *grant) take(to string, perSecond float64, now time.Time) int {
+// take returns the daemon's part of the permits that accrue at a rate.
+func (gr *grant) take(to string, perSecond float64, now time.Time) int {
 	most := max(1, perSecond*grantBurst.Seconds())
-	o.permits = min(o.permits+perSecond*now.Sub(o.at).Seconds(), most)
-	o.at = now
-	o.asked[to] = now
-	n := int(o.permits)
+	gr.permits = min(gr.permits+perSecond*now.Sub(gr.refilledAt).Seconds(), most)
+	gr.refilledAt = now
+	gr.askedAt[to] = now
+	n := int(gr.permits)
 	if n == 0 {
 		return 0
 	}
-	n = int(math.Ceil(float64(n) / float64(len(o.asked))))
-	if !o.turn(to, now) {
+	n = int(math.Ceil(float64(n) / float64(len(gr.askedAt))))
+	if !gr.hasTurn(to, now) {
 		return 0
 	}
-	o.permits -= float64(n)
-	o.given[to] = now
+	gr.permits -= float64(n)
+	gr.grantedAt[to] = now
 	return n
 }
 
-// turn tells whether no other daemon that asks was given a permit longer ago. One that has not
-// come for its turn is passed over.
-func (o *grant) turn(to string, now time.Time) bool {
-	for daemon, asked := range o.asked {
-		if daemon != to && o.given[daemon].Before(o.given[to]) && now.Sub(asked) < turnFor {
+// hasTurn reports whether no other asking daemon has waited for a permit for longer. A daemon that
+// does not ask within turnTimeout loses its turn.
+func (gr *grant) hasTurn(to string, now time.Time) bool {
+	for daemon, asked := range gr.askedAt {
+		if daemon != to && gr.grantedAt[daemon].Before(gr.grantedAt[to]) && now.Sub(asked) < turnTimeout {
 			return false
 		}
 	}
--- a/internal/backpressure/leaving.go
+++ b/internal/backpressure/leaving.go
@@ -6,32 +6,32 @@
 	"go.uber.org/zap"
 )
 
-// departure is the life of an instance that leaves.
-type departure struct {
-	born int64
-	at   time.Time // when it said so first
+// leavingIncarnation is an incarnation that reported to be leaving.
+type leavingIncarnation struct {
+	startedAt int64
+	since     time.Time // time of the first report
 }
 
-// leaves takes in that a life leaves, which holds until it ends.
-func (g *Gate) leaves(life Life, now time.Time) {
+// markLeaving records that an incarnation is leaving, until it ends.
+func (g *Gate) markLeaving(inc Life, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.isLeaving(life) {
+	if g.isLeaving(inc) {
 		return
 	}
-	if _, known := g.leaving[life.Instance]; !known && len(g.leaving) >= maxLives {
-		delete(g.leaving, oldest(g.leaving, func(d departure) time.Time { return d.at }))
+	if _, known := g.leaving[inc.Instance]; !known && len(g.leaving) >= maxIncarnations {
+		delete(g.leaving, oldest(g.leaving, func(d leavingIncarnation) time.Time { return d.since }))
 	}
-	g.leaving[life.Instance] = departure{life.Born, now}
+	g.leaving[inc.Instance] = leavingIncarnation{inc.Born, now}
 	g.version.Add(1)
-	g.log.Info("instance says that it leaves", zap.String("instance", life.Instance), zap.Int64("born", life.Born))
+	g.log.Info("instance is leaving", zap.String("instance", inc.Instance), zap.Int64("born", inc.Born))
 }
 
-// isLeaving tells whether a life said that it leaves; one whose start is not told may be any life
-// of its instance. g.mu is held.
-func (g *Gate) isLeaving(life Life) bool {
-	d, known := g.leaving[life.Instance]
-	return known && (d.born == life.Born || d.born == 0 || life.Born == 0)
+// isLeaving reports whether an incarnation is leaving; one with unknown start time may be any
+// incarnation of its instance. g.mu is held.
+func (g *Gate) isLeaving(inc Life) bool {
+	d, known := g.leaving[inc.Instance]
+	return known && (d.startedAt == inc.Born || d.startedAt == 0 || inc.Born == 0)
 }
 
 // oldest returns the key whose value has the earliest time.
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Life is one life of an instance's id. What is known of one holds for no other.
+// Life identifies one run of an instance under its id. What is known of one run does not apply to
+// another.
 type Life struct {
 	Instance string
-	Born     int64 // 0: not told
+	Born     int64 // start time; 0: unknown
 }
 
 // Bounds of a limit, in requests a second.
 const (
-	// LeastLimit stands in for a lower limit: at none at all nobody would learn that it ended.
+	// LeastLimit replaces lower limits: without any request nobody would notice the end of the limit.
 	LeastLimit = 0.05
-	// MostLimit stands in for a higher one.
-	MostLimit = 1e5
+	// MaxLimit replaces higher limits.
+	MaxLimit = 1e5
 )
 
-// Signals is what one answer says of the instance that made it.
+// Signals is what one answer reports about the instance that made it.
 type Signals struct {
-	// Limit is how many requests a second the instance takes from all daemons together;
-	// 0: it names none.
+	// Limit is the number of requests a second that the instance accepts from all daemons together;
+	// 0: the answer has no limit.
 	Limit float64
-	// Conclusive: the instance made the answer itself, so a limit that it does not name has
-	// ended. A refusal shows no end.
+	// Conclusive: the instance itself made the answer, so a limit that it does not name has ended.
+	// A refusal does not show the end of a limit.
 	Conclusive bool
-	// Rest is for how long the instance wants no request from this daemon; 0: it asks for none.
+	// Rest is how long this daemon must send no request to the instance; 0: not asked for.
 	Rest time.Duration
-	// Leaving: the instance ends soon and wants no new request.
+	// Leaving: the instance stops soon and accepts no new requests.
 	Leaving bool
 }
 
-// MostRest stands in for a longer rest.
+// MostRest replaces longer backoffs.
 const MostRest = 10 * time.Minute
