--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission decides at once whether a request is taken: limits of its
-// workspace, shared between the daemons, and the load of the replicas it may go
-// to, by class. What can't be met in time is refused with an honest time to come
-// back; nothing waits here.
+// Package admission decides at once whether a request is accepted: by the limits of its
+// workspace, which daemons share, and by the load of the replicas that could serve it, per
+// class. A request that can't be served in time is refused with a realistic retry delay;
+// nothing is queued here.
 package admission
 
 import (
@@ -15,30 +15,30 @@
 	"pearlanding/internal/catalog"
 )
 
-// Limits of one workspace as this daemon applies them.
+// Limits are the limits of one workspace as this daemon applies them.
 type Limits struct {
 	MaxConcurrent int     // over all daemons
-	RatePerSecond float64 // over all daemons; 0: none
-	Daemons       int     // live daemons, this one included
-	OthersInUse   int     // requests in progress at the other daemons, as heard
+	RatePerSecond float64 // over all daemons; 0: no limit
+	Daemons       int     // live daemons, including this one
+	OthersInUse   int     // requests in flight at the other daemons, as last received
 }
 
-// share is how many requests this daemon may have in progress: its equal part,
-// or all that the others leave, whichever is more. The sum over daemons may pass
-// the limit by what came within one sync interval.
+// share returns how many requests this daemon may have in flight: its even share or what the
+// other daemons leave, whichever is more. The sum over all daemons may exceed the limit by the
+// requests that arrived within one sync interval.
 func (l Limits) share() int {
-	equal := (l.MaxConcurrent + l.Daemons - 1) / max(l.Daemons, 1)
-	return max(equal, l.MaxConcurrent-l.OthersInUse)
+	even := (l.MaxConcurrent + l.Daemons - 1) / max(l.Daemons, 1)
+	return max(even, l.MaxConcurrent-l.OthersInUse)
 }
 
-// workspaceState is one workspace's usage at this daemon.
+// workspaceState is the usage of one workspace at this daemon.
 type workspaceState struct {
 	inUse   atomic.Int64
 	mu      sync.Mutex
 	limiter *rate.Limiter // nil until a rate applies; starts with a full burst
 }
 
-// Gate counts what is in progress by workspace. Safe for concurrent use.
+// Gate counts the requests in flight by workspace. Safe for concurrent use.
 type Gate struct {
 	mu         sync.Mutex
 	workspaces map[string]*workspaceState
@@ -58,11 +58,12 @@
 	return s
 }
 
-// Enter takes a place of the workspace. ok is false when a limit is reached;
-// then retry says when to come back. leave must be called once when ok.
-func (g *Gate) Enter(workspace string, l Limits, now time.Time) (leave func(), retry time.Duration, ok bool) {
+// Enter admits one request of the workspace. ok is false if a limit is reached; retry is then
+// the retry delay. If ok, release must be called once the request has ended; further calls of
+// it have no effect.
+func (g *Gate) Enter(workspace string, l Limits, now time.Time) (release func(), retry time.Duration, ok bool) {
 	s := g.state(workspace)
-	if wait := s.rateWait(l, now); wait > 0 {
+	if wait := s.takeToken(l, now); wait > 0 {
 		return nil, wait, false
 	}
 	if s.inUse.Add(1) > int64(l.share()) {
@@ -73,8 +74,8 @@
 	return func() { once.Do(func() { s.inUse.Add(-1) }) }, 0, true
 }
 
-// rateWait takes a token, or tells how long until there is one.
-func (s *workspaceState) rateWait(l Limits, now time.Time) time.Duration {
+// takeToken takes a token of the rate limit, or returns the time until there is one.
+func (s *workspaceState) takeToken(l Limits, now time.Time) time.Duration {
 	if l.RatePerSecond <= 0 {
 		return 0
 	}
@@ -96,7 +97,7 @@
 	return 0
 }
 
-// InUse returns the requests in progress by workspace, for the other daemons.
+// InUse returns the requests in flight by workspace, for the other daemons.
 func (g *Gate) InUse() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -109,34 +110,34 @@
 	return out
 }
 
-// ceilings is the load per slot up to which a class is taken: patient work is
-// refused first, urgent work last.
-var ceilings = map[catalog.Class]float64{
+// maxLoads holds the load per slot from which a class is refused: patient requests are refused
+// first, urgent ones last.
+var maxLoads = map[catalog.Class]float64{
 	catalog.ClassUrgent:  4,
 	catalog.ClassNormal:  2.5,
 	catalog.ClassPatient: 1.5,
 }
 
-// Ceiling returns the highest load per slot at which a class is still taken.
-func Ceiling(class catalog.Class) float64 {
-	if c, ok := ceilings[class]; ok {
+// MaxLoad returns the load per slot from which a class is refused.
+func MaxLoad(class catalog.Class) float64 {
+	if c, ok := maxLoads[class]; ok {
 		return c
 	}
-	return ceilings[catalog.ClassNormal]
+	return maxLoads[catalog.ClassNormal]
 }
 
-// Shed decides whether a request of a class is refused at the load per slot of
-// the least loaded replica; retry is how long the excess takes to work off.
-func Shed(class catalog.Class, load float64, service time.Duration) (retry time.Duration, shed bool) {
-	ceiling := Ceiling(class)
-	if load < ceiling {
+// Shed reports whether a request of a class is refused at the load per slot of the least loaded
+// replica; retry is the time in which the excess load is served.
+func Shed(class catalog.Class, load float64, service time.Duration) (retry time.Duration, refuse bool) {
+	maxLoad := MaxLoad(class)
+	if load < maxLoad {
 		return 0, false
 	}
-	excess := load - ceiling + 1
+	excess := load - maxLoad + 1
 	return time.Duration(math.Max(1, excess) * float64(service)), true
 }
 
-// Priority is the engine priority of a class, higher first.
+// Priority returns the engine priority of a class, higher first.
 func Priority(class catalog.Class) int {
 	for i, c := range catalog.Classes {
 		if c == class {
@@ -146,11 +147,11 @@
 	return 1
 }
 
-// ServiceTime is a moving average of how long requests take. Safe for
-// concurrent use; the zero value starts at one second.
+// ServiceTime is a moving average of request durations. Safe for concurrent use. The zero value
+// reports one second.
 type ServiceTime struct{ nanos atomic.Int64 }
 
-// Note folds one finished request.
+// Note adds the duration of a finished request.
 func (s *ServiceTime) Note(d time.Duration) {
 	const weight = 16
 	old := s.nanos.Load()
@@ -161,7 +162,7 @@
 	s.nanos.Store(old + (int64(d)-old)/weight)
 }
 
-// Mean returns the average.
+// Mean returns the average, one second if there is none.
 func (s *ServiceTime) Mean() time.Duration {
 	if n := s.nanos.Load(); n > 0 {
 		return time.Duration(n)
@@ -169,36 +170,36 @@
 	return time.Second
 }
 
-// RetryBudget allows retries in proportion to first tries, so that a failing
-// domain does not cause a storm. Safe for concurrent use.
+// RetryBudget limits retries to a ratio of first attempts, so that a failing domain does not
+// cause a retry storm. Safe for concurrent use.
 type RetryBudget struct {
-	ratio float64
-	mu    sync.Mutex
-	saved float64
+	ratio  float64
+	mu     sync.Mutex
+	tokens float64
 }
 
-// budgetBurst is how many retries may be saved up.
+// budgetBurst is the largest number of accrued retries.
 const budgetBurst = 10
 
-// NewRetryBudget allows ratio retries per first try.
+// NewRetryBudget returns a budget of ratio retries per first attempt, with a full burst.
 func NewRetryBudget(ratio float64) *RetryBudget {
-	return &RetryBudget{ratio: ratio, saved: budgetBurst}
+	return &RetryBudget{ratio: ratio, tokens: budgetBurst}
 }
 
-// First notes a first try.
+// First counts a first attempt.
 func (b *RetryBudget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = math.Min(budgetBurst, b.saved+b.ratio)
+	b.tokens = math.Min(budgetBurst, b.tokens+b.ratio)
 }
 
-// Retry takes one retry from the budget, or reports that there is none.
+// Retry takes one retry from the budget; false: there is none.
 func (b *RetryBudget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,44 +11,43 @@
 	_ "pearlanding/internal/fixedseed"
 )
 
-func TestLimitFollowsDemand(t *testing.T) {
+func TestShareFollowsDemand(t *testing.T) {
 	even := Limits{MaxConcurrent: 90, Daemons: 9, OthersInUse: 80}
 	must.Eq(t, 10, even.share())
 	alone := Limits{MaxConcurrent: 90, Daemons: 9, OthersInUse: 0}
 	must.Eq(t, 90, alone.share())
 }
 
-// TestGateNeverExceedsItsShare: what is inside never passes the share, and what
-// left is given back.
+// Requests in flight never exceed the share of this daemon, and ended ones no longer count.
 func TestGateNeverExceedsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGate()
 		l := Limits{MaxConcurrent: rapid.IntRange(1, 20).Draw(t, "max"), Daemons: rapid.IntRange(1, 4).Draw(t, "daemons"),
 			OthersInUse: rapid.IntRange(0, 30).Draw(t, "others")}
-		var inside []func()
+		var releases []func()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			if len(inside) > 0 && rapid.Bool().Draw(t, "leave") {
-				inside[0]()
-				inside[0]() // leaving twice counts once
-				inside = inside[1:]
+			if len(releases) > 0 && rapid.Bool().Draw(t, "leave") {
+				releases[0]()
+				releases[0]() // a second release has no effect
+				releases = releases[1:]
 				continue
 			}
-			leave, retry, ok := g.Enter("w", l, time.Unix(1, 0))
-			must.Eq(t, len(inside) < l.share(), ok)
+			release, retry, ok := g.Enter("w", l, time.Unix(1, 0))
+			must.Eq(t, len(releases) < l.share(), ok)
 			if !ok {
 				must.Positive(t, retry)
 				continue
 			}
-			inside = append(inside, leave)
-			must.Eq(t, len(inside), g.InUse()["w"])
+			releases = append(releases, release)
+			must.Eq(t, len(releases), g.InUse()["w"])
 		}
 	})
 }
 
-func TestRateTellsWhenToComeBack(t *testing.T) {
+func TestRateLimitReturnsRetryDelay(t *testing.T) {
 	g, now := NewGate(), time.Unix(1, 0)
 	l := Limits{MaxConcurrent: 100, Daemons: 2, RatePerSecond: 4}
-	for range 2 { // the burst of this daemon's half
+	for range 2 { // the burst of this daemon's half of the rate
 		_, _, ok := g.Enter("w", l, now)
 		must.True(t, ok)
 	}
@@ -59,7 +58,7 @@
 	must.True(t, ok)
 }
 
-func TestUrgentIsShedLast(t *testing.T) {
+func TestUrgentIsRefusedLast(t *testing.T) {
 	for load := 0.0; load < 6; load += 0.1 {
 		_, patient := Shed(catalog.ClassPatient, load, time.Second)
 		_, normal := Shed(catalog.ClassNormal, load, time.Second)
@@ -70,8 +69,8 @@
 	must.Greater(t, Priority(catalog.ClassPatient), Priority(catalog.ClassUrgent))
 }
 
-// TestRetriesStayWithinBudget: with every first try failing, attempts stay within
-// 1.1 times the requests and the saved burst.
+// With every first attempt failing, attempts stay within 1.1 times the requests plus the initial
+// burst.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	b := NewRetryBudget(0.1)
 	retries := 0
