--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,7 +1,7 @@
-// Package connlimit bounds how long the peer of a server's connection may take:
-// to begin a request, to send it whole, and to take each write. The HTTP library's
-// own timeouts are not in force on its standard transport (seen: a connection that
-// sent half a request stood open for good), so the connections do it themselves.
+// Package connlimit sets deadlines on server connections: for the start of a request, for the
+// whole request and for each write. The timeouts of the HTTP library do not apply on its standard
+// transport (a connection that had sent half a request stayed open for good), so the connections
+// enforce them.
 package connlimit
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Limits of one connection.
+// Limits are the time limits of a connection.
 type Limits struct {
 	Idle  time.Duration // until the first byte of a request
-	Read  time.Duration // from its first byte to its last
+	Read  time.Duration // from the first byte of a request to its last
 	Write time.Duration // for each write
 }
 
-// Bound returns a listener whose connections are bounded.
+// Bound returns a listener whose connections enforce the limits.
 func Bound(inner net.Listener, l Limits) net.Listener { return &listener{inner, l} }
 
 type listener struct {
@@ -33,33 +33,33 @@
 	return &conn{Conn: c, limits: l.limits}, nil
 }
 
-// conn bounds reads and writes. Reads belong to one request until something is
-// written; one goroutine reads and writes, as an HTTP/1 server does.
+// conn sets the deadlines of reads and writes. Reads belong to one request until something is
+// written. Reads and writes must come from one goroutine, as in an HTTP/1 server.
 type conn struct {
 	net.Conn
-	limits Limits
-	begun  time.Time // when the request's first byte came; zero: not yet
+	limits       Limits
+	requestStart time.Time // first byte of the current request; zero: not received yet
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	deadline := c.begun.Add(c.limits.Read)
-	if c.begun.IsZero() {
+	deadline := c.requestStart.Add(c.limits.Read)
+	if c.requestStart.IsZero() {
 		deadline = time.Now().Add(c.limits.Idle)
 	}
 	if err := c.Conn.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.begun.IsZero() {
-		c.begun = time.Now()
+	if n > 0 && c.requestStart.IsZero() {
+		c.requestStart = time.Now()
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
-	c.begun = time.Time{}
+	c.requestStart = time.Time{}
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.limits.Write)); err != nil {
 		return 0, err
 	}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// pair returns a bounded connection and its peer.
+// pair returns a limited connection and its peer.
 func pair(t *testing.T, l Limits) (net.Conn, net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,13 +28,13 @@
 
 const long = time.Hour
 
-func TestIdlePeerIsGivenUp(t *testing.T) {
+func TestIdlePeerTimesOut(t *testing.T) {
 	c, _ := pair(t, Limits{Idle: time.Millisecond, Read: long, Write: long})
 	_, err := c.Read(make([]byte, 1))
 	must.True(t, errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-func TestRequestThatIsNotSentWholeIsGivenUp(t *testing.T) {
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	c, peer := pair(t, Limits{Idle: long, Read: time.Millisecond, Write: long})
 	_, err := peer.Write([]byte("POST"))
 	must.NoError(t, err)
@@ -45,10 +45,10 @@
 	must.True(t, errors.Is(err, os.ErrDeadlineExceeded))
 }
 
-func TestAnswerBeginsANewRequest(t *testing.T) {
+func TestWriteStartsANewRequest(t *testing.T) {
 	c, peer := pair(t, Limits{Idle: long, Read: time.Nanosecond, Write: long})
 	buf := make([]byte, 1)
-	for range 3 { // each first byte has the idle limit again
+	for range 3 { // the idle limit applies again to each first byte
 		_, err := peer.Write([]byte("x"))
 		must.NoError(t, err)
 		_, err = c.Read(buf)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestPeerThatTakesNothingIsGivenUp(t *testing.T) {
+func TestBlockedWriteTimesOut(t *testing.T) {
 	c, _ := pair(t, Limits{Idle: long, Read: long, Write: time.Millisecond})
 	data := make([]byte, 1<<20)
 	var err error
