--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,6 @@
-// Package router decides which replica serves a request. It filters by what is
-// permitted first and weighs afterwards; everything is a pure function of a
-// snapshot, a request and injected randomness.
+// Package router chooses the replica that serves a request. It first filters by permission, then
+// weighs by load. Apart from counters, results depend only on a snapshot, a request and passed in
+// randomness.
 package router
 
 import (
@@ -13,8 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is one serving epoch of a group as the snapshot shows it. A Target is
-// immutable but for its counter.
+// Target is one serving epoch of a group in a snapshot. Only its counter Sent changes.
 type Target struct {
 	Group   string
 	Pool    string
@@ -22,32 +21,32 @@
 	Place   string
 	Domain  string
 	Address string    // of rank 0
-	Ready   time.Time // all members were surely ready up to then
-	Running int       // as reported, lagging
+	Ready   time.Time // last time at which all members were known to be ready
+	Running int       // as reported, with delay
 	Queued  int
 	Slots   int
-	// Sent counts this daemon's dispatches since the report.
+	// Sent counts the requests that this daemon sent since the report.
 	Sent *atomic.Int64
 	// Since is when this daemon first saw the epoch serve, for slow start.
 	Since time.Time
 }
 
-// Load is the work per slot: as reported, plus what was sent since.
+// Load returns the requests per slot: as reported, plus those sent since.
 func (t *Target) Load() float64 {
 	return float64(t.Running+t.Queued+int(t.Sent.Load())) / float64(max(t.Slots, 1))
 }
 
-// Request is what routing looks at.
+// Request holds the properties of a request that routing uses.
 type Request struct {
-	Places  []string // permitted
-	Prefix  uint64   // hash of the prompt's beginning
+	Places  []string // permitted places
+	Prefix  uint64   // hash of the start of the prompt
 	Exclude []string // groups already tried
 }
 
 // Policy names a routing policy.
 type Policy string
 
-// Policies; all but PolicyAffinity are baselines.
+// Policies. All but PolicyAffinity serve as baselines.
 const (
 	PolicyAffinity   Policy = "affinity"
 	PolicyRandom     Policy = "random"
@@ -59,14 +58,14 @@
 type Router struct {
 	Policy Policy
 	Subset int           // replicas considered for one prefix
-	MaxAge time.Duration // of readiness evidence
-	// SlowStart is how long a returning epoch gets only a growing share.
+	MaxAge time.Duration // of the last readiness report
+	// SlowStart is how long a new epoch receives a growing share of its requests.
 	SlowStart time.Duration
-	turn      atomic.Uint64
+	next      atomic.Uint64
 }
 
-// Permitted filters the targets a request may go to at now: a permitted place,
-// fresh evidence, not tried before. The order is kept.
+// Permitted returns the targets that a request may be sent to at now, in order: in a permitted
+// place, with a fresh readiness report and not tried before.
 func (r *Router) Permitted(targets []*Target, req Request, now time.Time) []*Target {
 	var out []*Target
 	for _, t := range targets {
@@ -77,13 +76,13 @@
 	return out
 }
 
-// Fresh tells whether a target may be dispatched to at now.
+// Fresh reports whether a target's readiness report is recent enough to send to it at now.
 func (r *Router) Fresh(t *Target, now time.Time) bool {
 	return !t.Ready.IsZero() && now.Sub(t.Ready) < r.MaxAge
 }
 
-// Choose picks one of the permitted targets, nil if there is none. uniform
-// returns a number in [0, n).
+// Choose returns one of the permitted targets, nil if there is none. uniform returns a random
+// number in [0, n).
 func (r *Router) Choose(permitted []*Target, req Request, now time.Time, uniform func(n int) int) *Target {
 	if len(permitted) == 0 {
 		return nil
@@ -92,35 +91,34 @@
 	case PolicyRandom:
 		return permitted[uniform(len(permitted))]
 	case PolicyRoundRobin:
-		return permitted[int(r.turn.Add(1)%uint64(len(permitted)))]
+		return permitted[int(r.next.Add(1)%uint64(len(permitted)))]
 	case PolicyLeast:
 		return slices.MinFunc(permitted, byLoad)
 	}
-	return r.byAffinity(permitted, req.Prefix, now, uniform)
+	return r.chooseByAffinity(permitted, req.Prefix, now, uniform)
 }
 
-// affinityMargin is how much more load per slot the replica with the prefix may
-// carry before a less loaded one is taken instead.
+// affinityMargin is how much more load per slot the preferred replica of a prefix may have than
+// another one that would otherwise be chosen.
 const affinityMargin = 0.25
 
-// byAffinity takes the prefix's first replica by rendezvous hashing unless it is
-// clearly more loaded than another of the subset chosen at random; then the
-// less loaded one.
-func (r *Router) byAffinity(permitted []*Target, prefix uint64, now time.Time, uniform func(int) int) *Target {
+// chooseByAffinity returns the first replica of the prefix by rendezvous hashing, unless its load
+// exceeds that of a random other replica of the subset by more than affinityMargin; then that one.
+func (r *Router) chooseByAffinity(permitted []*Target, prefix uint64, now time.Time, uniform func(int) int) *Target {
 	subset := rank(permitted, prefix)[:min(r.Subset, len(permitted))]
-	home := subset[0]
+	preferred := subset[0]
 	if len(subset) == 1 {
-		return home
+		return preferred
 	}
 	other := subset[1+uniform(len(subset)-1)]
-	if r.weighted(home, now) > r.weighted(other, now)+affinityMargin {
+	if r.loadWithSlowStart(preferred, now) > r.loadWithSlowStart(other, now)+affinityMargin {
 		return other
 	}
-	return home
+	return preferred
 }
 
-// weighted is the load, raised while a target starts slowly.
-func (r *Router) weighted(t *Target, now time.Time) float64 {
+// loadWithSlowStart returns the load, increased during slow start.
+func (r *Router) loadWithSlowStart(t *Target, now time.Time) float64 {
 	load := t.Load()
 	if age := now.Sub(t.Since); r.SlowStart > 0 && age < r.SlowStart {
 		load += 1 - float64(age)/float64(r.SlowStart)
@@ -128,7 +126,7 @@
 	return load
 }
 
-// rank orders targets by rendezvous hashing with the prefix.
+// rank returns the targets ordered by rendezvous hashing with the prefix.
 func rank(targets []*Target, prefix uint64) []*Target {
 	out := slices.Clone(targets)
 	slices.SortFunc(out, func(a, b *Target) int {
@@ -138,8 +136,8 @@
 }
 
 func score(group string, prefix uint64) uint64 {
-	const golden = 0x9e3779b97f4a7c15
-	h := xxhash.Sum64String(group) ^ (prefix * golden)
+	const goldenRatio = 0x9e3779b97f4a7c15
+	h := xxhash.Sum64String(group) ^ (prefix * goldenRatio)
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	return h ^ h>>33
@@ -147,14 +145,14 @@
 
 func byLoad(a, b *Target) int { return cmp.Compare(a.Load(), b.Load()) }
 
-// Uniform is the default randomness.
+// Uniform returns a random number in [0, n) from the default source.
 func Uniform(n int) int { return rand.IntN(n) }
 
-// prefixBytes is how much of a prompt decides about affinity.
+// prefixBytes is the length of the start of a prompt that determines affinity.
 const prefixBytes = 256
 
-// PrefixHash hashes the beginning of a prompt, within a workspace so that equal
-// prompts of two workspaces need not meet.
+// PrefixHash hashes the start of a prompt together with the workspace, so that equal prompts of two
+// workspaces are not tied to the same replica.
 func PrefixHash(workspace string, prompt []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(workspace)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// TestOnlyPermittedPlaces: whatever the policy, the load and the randomness, what
-// is chosen stands in a permitted place, has fresh evidence and was not tried.
+// For any policy, load and randomness, the chosen target is in a permitted place, has a fresh
+// readiness report and was not tried before.
 func TestOnlyPermittedPlaces(t *testing.T) {
 	now := time.Unix(6000, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -50,7 +50,7 @@
 	})
 }
 
-func fleet(n int, now time.Time) []*Target {
+func makeTargets(n int, now time.Time) []*Target {
 	var out []*Target
 	for i := range n {
 		out = append(out, &Target{Group: fmt.Sprintf("g%d", i), Place: "p", Slots: 8, Ready: now, Sent: new(atomic.Int64)})
@@ -58,24 +58,24 @@
 	return out
 }
 
-func TestPrefixStaysHomeUntilItsReplicaIsLoaded(t *testing.T) {
+func TestPrefixStaysAtItsReplicaUntilThatIsLoaded(t *testing.T) {
 	now := time.Unix(6000, 0)
 	r := &Router{Policy: PolicyAffinity, Subset: 4, MaxAge: time.Second}
-	targets := fleet(15, now)
+	targets := makeTargets(15, now)
 	req := Request{Prefix: 77}
 	uniform := rand.New(rand.NewPCG(1, 1)).IntN
-	home := r.Choose(targets, req, now, uniform)
+	preferred := r.Choose(targets, req, now, uniform)
 	for range 50 {
-		must.Eq(t, home, r.Choose(targets, req, now, uniform))
+		must.Eq(t, preferred, r.Choose(targets, req, now, uniform))
 	}
-	home.Sent.Add(8)
-	must.NotEq(t, home, r.Choose(targets, req, now, uniform))
+	preferred.Sent.Add(8)
+	must.NotEq(t, preferred, r.Choose(targets, req, now, uniform))
 }
 
 func TestPrefixesSpreadOverReplicas(t *testing.T) {
 	now := time.Unix(6000, 0)
 	r := &Router{Policy: PolicyAffinity, Subset: 4, MaxAge: time.Second}
-	targets := fleet(16, now)
+	targets := makeTargets(16, now)
 	uniform := rand.New(rand.NewPCG(1, 1)).IntN
 	count := map[string]int{}
 	const prefixes = 16000
@@ -100,7 +100,7 @@
 	for _, n := range []int{15, 64, 256} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
 			r := &Router{Policy: PolicyAffinity, Subset: 4, MaxAge: time.Second}
-			targets := fleet(n, now)
+			targets := makeTargets(n, now)
 			req := Request{Places: []string{"p"}}
 			for i := range b.N {
 				req.Prefix = uint64(i)
