--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// queueShare is the share of the objective beyond the fastest first event that queueing may
-// consume when a stream is admitted. Past it, the stream and those queued behind it would be
-// late; refused at once, it may still be in time elsewhere or on a retry. A smaller share
+// queueShare is the share of the time between the fastest first event and the objective that
+// queueing may consume when a stream is admitted. Past it, the stream and those queued behind it
+// would be late; refused at once, it may still be in time at another daemon or on a retry. A smaller share
 // refuses work that would have been in time.
 const queueShare = 0.3
 
-// Admission is the decision whether a new stream is sent at all, with the inputs to it.
+// Admission is the decision whether a new stream is sent at all, with its inputs.
 type Admission struct {
 	Admitted bool
 	Replicas int           // targets that could serve the stream
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -1,12 +1,12 @@
 package dispatch
 
-// maxSends bounds the sends of one request, including those that failed before leaving.
+// maxSends bounds the sends of one request, including those that failed before anything was sent.
 const maxSends = 4
 
-// Attempts counts the sends of one request. The route limits how many instances may have run
-// it. The zero value is ready to use.
+// Attempts counts the sends of one request, and the instances that may have run it. The route
+// limits the latter. The zero value is ready to use.
 type Attempts struct {
-	sends   int // including those that failed before leaving
+	sends   int // including those that failed before anything was sent
 	reached int // instances that may have run the request
 }
 
@@ -16,16 +16,17 @@
 // Reached counts an instance that may have run the request.
 func (a *Attempts) Reached() { a.reached++ }
 
-// NotRun undoes the last Reached, after the instance reported that it did not run the request.
-// It matters once an earlier instance may have run it: such a request can't be refused as not
-// run, and would fail when two replicas stop one after the other.
+// NotRun undoes the count of the last instance, after it reported that it did not run the
+// request. This matters once an earlier instance may have run the request: such a request can't
+// be refused as not run, and would fail when two replicas stop one after the other.
 func (a *Attempts) NotRun() { a.reached-- }
 
-// Repeated reports whether another send would be a repeat.
+// Repeated reports whether another send would be a retry.
 func (a *Attempts) Repeated() bool { return a.reached > 0 }
 
-// Spent reports whether no further send may be made; limit is that of the route.
+// Spent reports whether no further send may be made; limit is the route's number of instances.
 func (a *Attempts) Spent(limit int) bool { return a.reached >= limit || a.sends >= maxSends }
 
-// Last reports whether the current send is the last one that the route allows.
+// Last reports whether the current send is the last that the route allows; limit is the route's
+// number of instances.
 func (a *Attempts) Last(limit int) bool { return a.reached+1 >= limit }
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -8,7 +8,7 @@
 
 // Engines are replaced one after the other, and a stream's second replica stops before it has
 // run the stream. A route of two attempts allows a third send, as only one instance has run it.
-// Two instances that have run it are the limit, and so are four sends.
+// No send follows once two instances have run it, or after four sends.
 func TestSendThatDidNotRunIsNotAnAttempt(t *testing.T) {
 	const limit = 2
 	var a Attempts
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Budget limits repeats to a share of this daemon's own requests within a sliding window. The
-// repeats of all daemons together then stay within the same share of all requests, plus one
-// repeat and two seconds of accrued credit per daemon, whatever the number of daemons and
+// Budget limits retries to a share of this daemon's own requests within a sliding window. The
+// retries of all daemons together then stay within the same share of all requests, plus one
+// retry and two seconds of accrued credit per daemon, whatever the number of daemons and
 // however often they restart. Safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
@@ -21,14 +21,15 @@
 
 // budgetSlot counts one slot of the window.
 type budgetSlot struct {
-	number   int64 // of the slot, counted from the origin
+	number   int64 // slots since the origin
 	requests float64
-	repeats  float64
+	retries  float64
 }
 
 // Parameters of the budget.
 const (
-	// usedRatio is the share of the allowed ratio that is used: slots are coarser than the rule.
+	// usedRatio is the share of the allowed ratio that is used: counting by slots is less exact than
+	// the sliding window of the rule.
 	usedRatio = 0.9
 	// budgetSlots is the number of slots in a window.
 	budgetSlots = 10
@@ -36,9 +37,9 @@
 	defaultWindow = 10 * time.Second
 )
 
-// BudgetRule is the deployment's limit on repeats.
+// BudgetRule is the deployment's limit on retries.
 type BudgetRule struct {
-	Ratio  float64 // repeats allowed per request
+	Ratio  float64 // retries allowed per request
 	Window time.Duration
 }
 
@@ -72,35 +73,35 @@
 	b.credit.add(usedRatio*rule.Ratio, now)
 }
 
-// Repeat counts one repeat if the budget allows it. It returns false if the repeat must not be made.
+// Repeat counts one retry if the budget allows it. It returns false if the retry must not be made.
 func (b *Budget) Repeat(rule BudgetRule, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.remaining(rule, now) < 1 {
 		return false
 	}
-	b.slot(rule, now).repeats++
+	b.slot(rule, now).retries++
 	b.credit.add(-1, now)
 	return true
 }
 
-// Return refunds a repeat that was counted at now and not made.
+// Return refunds a retry that was counted at now and not made.
 func (b *Budget) Return(rule BudgetRule, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slot(rule, now).repeats--
+	b.slot(rule, now).retries--
 	b.credit.add(1, now)
 }
 
-// Spare removes and returns the credit beyond the one repeat that this daemon keeps, for daemons
-// that need more.
+// Spare removes and returns the credit beyond the one retry that this daemon keeps, for other
+// daemons that need more.
 func (b *Budget) Spare(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.credit.takeSurplus(now)
 }
 
-// Left returns how many repeats could be made now.
+// Left returns how many retries could be made now.
 func (b *Budget) Left(rule BudgetRule, now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,19 +109,19 @@
 }
 
 func (b *Budget) remaining(rule BudgetRule, now time.Time) float64 {
-	// The window ends now and begins within the oldest slot. Repeats of that slot may lie inside
+	// The window ends now and begins within the oldest slot. Retries of that slot may lie inside
 	// the window and count; its requests may lie outside and don't.
 	oldest := b.slotNumber(rule, now) - budgetSlots
-	left := 0.0
+	allowed := 0.0
 	for _, s := range b.slots {
 		if s.number > oldest {
-			left += usedRatio * rule.Ratio * s.requests
+			allowed += usedRatio * rule.Ratio * s.requests
 		}
 		if s.number >= oldest {
-			left -= s.repeats
+			allowed -= s.retries
 		}
 	}
-	return min(left, b.credit.balance(now))
+	return min(allowed, b.credit.balance(now))
 }
 
 // Budgets holds one budget per service.
@@ -155,7 +156,7 @@
 	return out
 }
 
-// Left returns how many repeats each service's budget allows now.
+// Left returns how many retries each service's budget allows now.
 func (b *Budgets) Left(rule BudgetRule, now time.Time) map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -26,16 +26,16 @@
 	must.False(t, b.Repeat(testRule, now))
 }
 
-func TestUnusedRepeatIsRefunded(t *testing.T) {
+func TestUnusedRetryIsRefunded(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
 	for range 6 {
 		b.Request(testRule, now)
 	}
-	left := b.Left(testRule, now)
+	before := b.Left(testRule, now)
 	must.True(t, b.Repeat(testRule, now))
 	b.Return(testRule, now)
-	must.Eq(t, left, b.Left(testRule, now))
+	must.Eq(t, before, b.Left(testRule, now))
 }
 
 // 30 requests a second, and a domain of instances fails at once with a quarter of the requests
@@ -52,8 +52,8 @@
 	}
 }
 
-// One request in three seconds: credit for one repeat is kept.
-func TestBudgetOfLowTrafficServiceAllowsRepeat(t *testing.T) {
+// One request in three seconds: credit for one retry is kept.
+func TestBudgetOfLowTrafficServiceAllowsRetry(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	slow := BudgetRule{Ratio: 0.5, Window: testRule.Window}
@@ -65,17 +65,17 @@
 	must.False(t, b.Repeat(slow, now))
 }
 
-// However often the process restarts, the repeats of one daemon in a window stay within the share
+// However often the process restarts, the retries of one daemon in a window stay within the share
 // of its requests in that window, plus what was accrued before it.
 func TestBudgetHoldsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b, now, end := NewBudget(), time.Unix(1000, 0), time.Unix(1000, 0).Add(testRule.Window)
-		saved := 1.0
+		accruedBefore := 1.0
 		for range rapid.IntRange(0, 100).Draw(r, "before") {
 			b.Request(testRule, now)
-			saved += testRule.Ratio
+			accruedBefore += testRule.Ratio
 		}
-		requests, repeats := 0, 0
+		requests, retries := 0, 0
 		for !now.After(end) {
 			switch rapid.SampledFrom([]string{"request", "request", "repeat", "repeat", "restart"}).Draw(r, "what") {
 			case "request":
@@ -83,20 +83,20 @@
 				requests++
 			case "repeat":
 				if b.Repeat(testRule, now) {
-					repeats++
+					retries++
 				}
 			case "restart":
 				b = NewBudget()
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
 		}
-		if float64(repeats) > saved+testRule.Ratio*float64(requests) {
-			r.Fatalf("%d repeats for %d requests", repeats, requests)
+		if float64(retries) > accruedBefore+testRule.Ratio*float64(requests) {
+			r.Fatalf("%d retries for %d requests", retries, requests)
 		}
 	})
 }
 
-// Credit not spent in a window must not be spent in a later one: accrued repeats once exceeded
+// Credit not spent in a window must not be spent in a later one: accrued retries once exceeded
 // the shared budget.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
@@ -117,18 +117,18 @@
 			}
 		}
 		count := func(end time.Time, request bool) (n int) {
-			for _, m := range events {
-				if m.request == request && !m.at.After(end) && !m.at.Before(end.Add(-testRule.Window)) {
+			for _, e := range events {
+				if e.request == request && !e.at.After(end) && !e.at.Before(end.Add(-testRule.Window)) {
 					n++
 				}
 			}
 			return n
 		}
-		// At each repeat, the exact window that ends with it is within its share.
-		for _, m := range events {
-			repeats, requests := count(m.at, false), count(m.at, true)
-			if !m.request && float64(repeats) > testRule.Ratio*float64(requests) {
-				r.Fatalf("%d repeats for %d requests", repeats, requests)
+		// At each retry, the retries of the exact window that ends then are within its share.
+		for _, e := range events {
+			retries, requests := count(e.at, false), count(e.at, true)
+			if !e.request && float64(retries) > testRule.Ratio*float64(requests) {
+				r.Fatalf("%d retries for %d requests", retries, requests)
 			}
 		}
 	})
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -6,28 +6,29 @@
 	"pearlanding/internal/fleet"
 )
 
-// Parameters of the choice where loads of other daemons are known.
+// Parameters of the choice when loads of other daemons are known.
 const (
 	// loadTTL is how long received loads are used; they arrive four times a second.
 	loadTTL = 3 * time.Second
-	// knownLoadZonePenalty is the penalty of another zone, in requests, where loads are known. It
+	// knownLoadZonePenalty is the penalty of another zone, in requests in flight, when loads are known. It
 	// exceeds the error of the received loads, so that requests stay in their zone while its
 	// replicas are about as busy as others.
 	knownLoadZonePenalty = 1.5
 )
 
-// ownLoadDaemons is the number of daemons up to which a daemon's own requests are the best
-// estimate of its replicas' load.
-const ownLoadDaemons = 16
+// maxOwnLoadDaemons is the largest number of daemons with which a daemon estimates its replicas'
+// load best by its own requests alone.
+const maxOwnLoadDaemons = 16
 
-// Others is what the other daemons reported.
+// Others holds the reports of the other daemons, summed up.
 type Others struct {
-	Daemons  int                // that reported, including this one
-	InFlight map[string]int     // requests of the other daemons, by instance
-	Standing map[fleet.Key]bool // groups stalled for several daemons and making progress for none
+	Daemons  int                // daemons that reported, including this one
+	InFlight map[string]int     // requests in flight of the other daemons, by instance
+	Standing map[fleet.Key]bool // groups that several daemons see stalled and no daemon sees progressing
 }
 
-// Loaded stores what the other daemons reported, as of now. The caller must not change it afterwards.
+// Loaded stores what the other daemons reported, as of now. The caller must not change others
+// afterwards.
 func (p *Picker) Loaded(others Others, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,16 +38,16 @@
 // stallReportTTL is how long other daemons' report of a stalled group is used.
 const stallReportTTL = time.Second
 
-// reportedStalled reports whether other daemons found the target's group stalled. p.mu is held.
-// A daemon without another stream there can't see it by itself and would wait for longer than
-// the objective.
+// reportedStalled reports whether other daemons see the target's group as stalled. p.mu is held.
+// A daemon without another stream there can't detect the stall itself and would wait for
+// longer than the objective.
 func (p *Picker) reportedStalled(t *Target, now time.Time) bool {
 	return now.Sub(p.othersAt) < stallReportTTL && p.others.Standing[t.Group]
 }
 
 // Progress returns the groups whose running streams stalled recently at this daemon, and those
 // whose running streams make progress.
-func (p *Picker) Progress(now time.Time) (stalled, alive []fleet.Key) {
+func (p *Picker) Progress(now time.Time) (stalled, progressing []fleet.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.records {
@@ -54,11 +55,11 @@
 		case r.group == fleet.Key{}:
 		case r.stalledRecently(now):
 			stalled = append(stalled, r.group)
-		case r.alive(now):
-			alive = append(alive, r.group)
+		case r.progressing(now):
+			progressing = append(progressing, r.group)
 		}
 	}
-	return stalled, alive
+	return stalled, progressing
 }
 
 // InFlight returns this daemon's requests in flight, by instance.
@@ -80,10 +81,11 @@
 	own    float64
 }
 
-// candidates returns the targets to choose among: all that were not tried or, where loads of
+// candidates returns the targets to choose among: all that were not tried or, when loads of
 // other daemons are known, two of the healthy ones: the least loaded by this daemon's own requests
-// and a random one. Received loads are nearly as old as a stream lasts; if each daemon took the
-// least loaded of many by them, hundreds would send to the same one until the next report. The
+// and a random one. Received loads are nearly as old as a stream lasts; if each daemon sent
+// to the least loaded of many by these reports, hundreds would send to the same target until the
+// next report. The
 // result is valid until the next call. p.mu is held.
 func (p *Picker) candidates(targets []Target, tried map[string]bool, now time.Time) []scoredTarget {
 	all, healthy := p.all[:0], p.healthy[:0]
@@ -111,23 +113,24 @@
 
 // loadsKnown reports whether the other daemons' requests in flight are used. p.mu is held.
 func (p *Picker) loadsKnown(now time.Time) bool {
-	return now.Sub(p.othersAt) < loadTTL && p.others.Daemons > ownLoadDaemons
+	return now.Sub(p.othersAt) < loadTTL && p.others.Daemons > maxOwnLoadDaemons
 }
 
-// isHealthy reports whether a target is neither stalled nor suspect. p.mu is held.
+// isHealthy reports whether a target is neither suspect nor stalled, by this daemon's streams or,
+// if none of these progress, by the reports of other daemons. p.mu is held.
 func (p *Picker) isHealthy(t *Target, r *record, now time.Time) bool {
 	if r != nil && (r.stalled(now) || now.Before(r.suspectUntil)) {
 		return false
 	}
-	return !p.reportedStalled(t, now) || r != nil && r.alive(now)
+	return !p.reportedStalled(t, now) || r != nil && r.progressing(now)
 }
 
 // lowestScore returns a target of the lowest score, ties broken at random.
-func (p *Picker) lowestScore(of []scoredTarget, score func(*scoredTarget) float64) *scoredTarget {
+func (p *Picker) lowestScore(scored []scoredTarget, score func(*scoredTarget) float64) *scoredTarget {
 	ties := p.ties[:0]
 	var best float64
-	for i := range of {
-		switch s := score(&of[i]); {
+	for i := range scored {
+		switch s := score(&scored[i]); {
 		case len(ties) == 0 || s < best:
 			best, ties = s, append(ties[:0], i)
 		case s == best:
@@ -139,7 +142,7 @@
 	case 0:
 		return nil
 	case 1:
-		return &of[ties[0]]
+		return &scored[ties[0]]
 	}
-	return &of[ties[len(ties)-1-p.uniform(len(ties))]]
+	return &scored[ties[len(ties)-1-p.uniform(len(ties))]]
 }
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -11,26 +11,26 @@
 	"pearlanding/internal/fleet"
 )
 
-// pickerLoad is a load of many daemons on replicas that run this many streams at once and queue
-// as many more.
+// pickerLoad is a load of many daemons on replicas that each run a number of streams at once and
+// queue as many more.
 type pickerLoad struct {
 	daemons, replicas, zones int
 	perSecond                float64
 	streamTime               time.Duration // mean duration of a stream
 	reportAge                time.Duration // age of the loads that daemons exchange; 0: none are exchanged
-	down                     int           // replicas of the first zone that are down
-	slots                    int
+	downReplicas             int           // replicas of the first zone that are down
+	slots                    int           // streams that a replica runs at once
 }
 
-// simulate returns how many streams met a full replica, how many were sent, and how many of them
-// went to another zone.
+// simulate returns how many streams were sent, how many of them were sent to a replica without a
+// free slot, and how many to another zone.
 func (c pickerLoad) simulate() (full, sent, remote int) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	pickers := make([]*Picker, c.daemons)
 	zoneOf := func(i int) string { return fmt.Sprint("z", i%c.zones) }
 	var targets []Target
 	for i := range c.replicas {
-		if i%c.zones != 0 || i/c.zones >= c.down {
+		if i%c.zones != 0 || i/c.zones >= c.downReplicas {
 			targets = append(targets, Target{Instance: fmt.Sprint(i), Zone: zoneOf(i)})
 		}
 	}
@@ -93,19 +93,19 @@
 	return full, sent, remote
 }
 
-// Guards against random choice in effect: 295 daemons with one or two streams each chose the least
-// loaded replica by their own streams, though each sees a 295th of a replica's load. Engines
+// Guards against choices that are random in effect: 295 daemons with one or two streams each chose
+// the least loaded replica by their own streams, though each sees a 295th of a replica's load. Engines
 // rejected 5 to 15 of 100 arrivals, and the busiest ran 9.4 times the mean with capacity free
 // elsewhere.
 //
-// 900 streams of a second, reports 0.4 s old, 95 replicas of 14 slots; and the same with half of one
+// 900 streams a second that last a second each, reports 0.4 s old, 95 replicas of 14 slots; and the same with half of one
 // zone's replicas down.
 func TestReportedLoadsSpreadStreamsOfManyDaemons(t *testing.T) {
 	load := pickerLoad{daemons: 295, replicas: 95, zones: 5, perSecond: 900, streamTime: time.Second, slots: 14}
 	for name, down := range map[string]int{"all up": 0, "half of a zone is down": 9} {
 		t.Run(name, func(t *testing.T) {
 			load := load
-			load.down = down
+			load.downReplicas = down
 			withoutReports, _, _ := load.simulate()
 			load.reportAge = 400 * time.Millisecond
 			withReports, sent, remote := load.simulate()
@@ -117,7 +117,7 @@
 
 // Seven daemons, each of which makes a seventh of the requests of their twelve replicas: their own
 // requests are a good estimate. Random candidates compared by reported loads did worse: 20 of 720
-// streams met a full replica, and worth per request owed fell by 0.010 +/- 0.004 (8 paired days).
+// streams met a full replica, and the mean score of a request fell by 0.010 +/- 0.004 (8 paired days of load).
 func TestReportedLoadsDoNotChangeChoicesOfFewDaemons(t *testing.T) {
 	load := pickerLoad{daemons: 7, replicas: 12, zones: 3, perSecond: 120, streamTime: time.Second, slots: 14, reportAge: 400 * time.Millisecond}
 	full, _, _ := load.simulate()
@@ -126,7 +126,7 @@
 	must.Eq(t, withoutReports, full)
 }
 
-// Up to sixteen daemons choose by their own requests; reported stalls are used all the same.
+// Up to sixteen daemons ignore reported loads, but use reported stalls.
 func TestFewDaemonsUseReportedStalls(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 })
 	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
@@ -143,8 +143,8 @@
 	must.Eq(t, "here", pickOne(p, t0.Add(loadTTL), here, there))
 }
 
-// If every candidate is stalled or suspect, all targets are considered.
-func TestCandidatesAreHealthyIfAnyIs(t *testing.T) {
+// Unhealthy targets are candidates only if all are unhealthy.
+func TestHealthyCandidatesArePreferred(t *testing.T) {
 	p := NewPicker("z", func(int) int { return 0 })
 	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"there": 30}}, t0)
 	p.Suspect(&here, t0)
@@ -155,7 +155,7 @@
 
 // Requests in flight at other daemons count like own requests.
 func TestReportedRequestsCountTowardsLoad(t *testing.T) {
-	p := NewPicker("z", func(n int) int { return n - 1 }) // picks the last target, keeps the first of ties
+	p := NewPicker("z", func(n int) int { return n - 1 }) // draws the last target at random, keeps the first of ties
 	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"here": 3}}, t0)
 	must.Eq(t, "there", pickOne(p, t0, here, there))
 	must.Eq(t, map[string]int{}, p.InFlight())
@@ -166,7 +166,7 @@
 // Guards against streams sent to a group whose member has died: with 295 daemons none has another
 // stream there that would show the stall, and a group without streams looks idle. Each of 2,296
 // streams of one day was moved from such a group only after 1.5 objectives, 0.46 to 1.54 s.
-func TestGroupReportedStalledIsAvoided(t *testing.T) {
+func TestGroupReportedAsStalledIsAvoided(t *testing.T) {
 	p := NewPicker("z", func(int) int { return 0 })
 	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
 	nextEpoch := group
@@ -174,7 +174,7 @@
 	p.Loaded(Others{Daemons: 100, Standing: map[fleet.Key]bool{group.Group: true}}, t0)
 	must.Eq(t, Still, p.Health(&group, t0))
 	must.Eq(t, "there", pickOne(p, t0, group, there))
-	must.Eq(t, Unknown, p.Health(&nextEpoch, t0), must.Sprint("its head leads a new group epoch"))
+	must.Eq(t, Unknown, p.Health(&nextEpoch, t0), must.Sprint("its head leads a new epoch of the group"))
 	must.Eq(t, "here", pickOne(p, t0, nextEpoch, there))
 	must.Eq(t, Unknown, p.Health(&group, t0.Add(stallReportTTL)))
 	p.Pick([]Target{group}, nil, t0)
@@ -197,7 +197,7 @@
 	}
 	later := t0.Add(time.Second)
 	p.Progressed(&b, later)
-	stopped, alive := p.Progress(later)
-	must.Eq(t, []fleet.Key{a.Group}, stopped)
-	must.Eq(t, []fleet.Key{b.Group}, alive)
+	stalled, progressing := p.Progress(later)
+	must.Eq(t, []fleet.Key{a.Group}, stalled)
+	must.Eq(t, []fleet.Key{b.Group}, progressing)
 }
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits on the silence of a stream, after which it is moved to another replica if it may be.
+// Limits on the silence of a stream, after which it is moved to another replica if the route allows that.
 const (
 	// firstEventFactor is how many times the objective a first event may take at a replica about
 	// which nothing else is known. Where other streams make progress the request is only queued,
@@ -15,13 +15,13 @@
 // Silence describes a stream that was sent and is currently silent.
 type Silence struct {
 	Begun    bool          // it had events before, and none since for its stall timeout
-	Waited   time.Duration // since it was sent
+	Waited   time.Duration // time since it was sent
 	Patience time.Duration // stall timeout of its first event
 	Replica  Health        // as seen by all streams of this daemon there
 }
 
-// Move reports whether the stream should be moved. If it has begun and exceeds its stall timeout,
-// either its answer is lost or its replica is stalled.
+// Move reports whether the stream should be moved. A stream that has begun and exceeds its stall
+// timeout is moved in any case: either its answer is lost or its replica is stalled.
 func (s Silence) Move() bool {
 	if s.Replica == Still || s.Begun {
 		return true
@@ -35,12 +35,12 @@
 // FirstLook returns how long after its send a stream is first checked for silence.
 func (p Patience) FirstLook() time.Duration { return min(p.First, p.Pause) }
 
-// resendShare is the share of a route's objective after which a repeatable plain request without
+// resendShare is the share of a route's objective after which a retryable plain request without
 // an answer is sent to another instance. A much earlier resend would give the upstream no chance;
 // half leaves the other half for the second send.
 const resendShare = 0.5
 
-// PlainPatience returns how long a repeatable plain request may go without an answer before it is
+// PlainPatience returns how long a retryable plain request may go without an answer before it is
 // sent to another instance; 0: no limit.
 func PlainPatience(objective time.Duration) time.Duration {
 	return time.Duration(resendShare * float64(objective))
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -9,17 +9,18 @@
 	"pearlanding/internal/fleet"
 )
 
-// Target is an instance or group that a request may be sent to.
+// Target is an instance, or a group by its head, that a request may be sent to.
 type Target struct {
 	Instance string // id of the instance, or of a group's head
 	Born     int64  // start time of its incarnation; 0: unknown
 	Address  string
 	Zone     string
-	Group    fleet.Key     // zero for plain services
+	Group    fleet.Key     // zero for an instance of a plain service
 	Quiet    time.Duration // stall timeout of its running streams; 0: unknown
 }
 
-// incarnation is one run of an instance under its id. Observations of one do not apply to the next.
+// incarnation is one run of an instance under its id. Observations of one incarnation
+// do not apply to the next.
 type incarnation struct {
 	instance  string
 	startedAt int64
@@ -34,9 +35,9 @@
 	otherZonePenalty = 0.5
 	// stalledPenalty ranks a stalled target behind others.
 	stalledPenalty = 40
-	// waitUnit of the oldest wait for a first event counts like one request in flight. The last
-	// first event is not part of the score: with it, daemons leave a replica and return to it
-	// together.
+	// waitUnit is how long the oldest stream without an event must have waited to count like one
+	// request in flight. The last measured first event is not part of the score: with it, daemons
+	// would leave a replica and return to it together.
 	waitUnit = 50 * time.Millisecond
 	// suspectPenalty ranks a target that failed recently behind others.
 	suspectPenalty = 20
@@ -45,7 +46,7 @@
 // Durations of the picker.
 const (
 	// minStallTimeout is how long all running streams of a target may be silent before it counts
-	// as stalled, if its passes are shorter or unknown.
+	// as stalled, if its passes are shorter than that or unknown.
 	minStallTimeout = 250 * time.Millisecond
 	// stallMargin is added to the longest pass for network and scheduling delays.
 	stallMargin = 100 * time.Millisecond
@@ -55,14 +56,15 @@
 	// maxSuspicion, until the target makes progress again.
 	minSuspicion = 1500 * time.Millisecond
 	maxSuspicion = 8 * time.Second
-	// recentStall is how long a moved stream counts as a sign that the target is stalled: the
-	// stream itself no longer runs there.
+	// recentStall is how long a moved stream counts as a sign that the target is stalled. The
+	// stream itself no longer runs there, so it can't show the stall any more.
 	recentStall = time.Second
 	// recordTTL is how long an unused target is remembered.
 	recordTTL = 30 * time.Second
 )
 
-// Picker chooses targets by this daemon's requests in flight and its observations of them. Safe
+// Picker chooses targets by this daemon's requests in flight, its observations of them and the
+// reports of other daemons. Safe
 // for concurrent use.
 type Picker struct {
 	zone     string
@@ -86,7 +88,8 @@
 }
 
 // Pick returns the least loaded target that was not tried, nil if there is none. The request
-// counts as in flight until Done or Ended is called.
+// counts as in flight until its end is recorded: by Ended for a stream that was sent, by Done
+// otherwise.
 func (p *Picker) Pick(targets []Target, tried map[string]bool, now time.Time) *Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +99,7 @@
 	}
 	r := p.record(best.target.incarnation())
 	r.inFlight++
-	r.used, r.stallTimeout, r.group = now, max(best.target.Quiet, minStallTimeout), best.target.Group
+	r.usedAt, r.stallTimeout, r.group = now, max(best.target.Quiet, minStallTimeout), best.target.Group
 	return best.target
 }
 
@@ -132,8 +135,9 @@
 }
 
 // earliestFirstEvent returns the lowest expected wait for a first event at any target that is neither
-// stalled nor suspect, as far as known; ok is false if there is no such target.
-func (p *Picker) earliestFirstEvent(targets []Target, now time.Time) (least time.Duration, ok bool) {
+// stalled nor suspect; ok is false if there is no such target. A target without a record counts as
+// free.
+func (p *Picker) earliestFirstEvent(targets []Target, now time.Time) (lowest time.Duration, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range targets {
@@ -144,20 +148,21 @@
 		if r.stalled(now) || now.Before(r.suspectUntil) {
 			continue
 		}
-		if d := r.expectedWait(now); !ok || d < least {
-			least, ok = d, true
+		if d := r.expectedWait(now); !ok || d < lowest {
+			lowest, ok = d, true
 		}
 	}
-	return least, ok
+	return lowest, ok
 }
 
-// Health is the state of a target as seen by this daemon's own requests.
+// Health is the state of a target as shown by this daemon's own requests and, where these show
+// nothing, by the reports of other daemons.
 type Health int
 
 const (
-	Unknown Health = iota // no running stream would show it
+	Unknown Health = iota // no running stream or report shows its state
 	Alive                 // running streams make progress
-	Still                 // running streams stalled, or requests failed recently
+	Still                 // running streams are stalled, or requests failed recently
 )
 
 // Health returns the known state of a target.
@@ -186,8 +191,8 @@
 	return r
 }
 
-// Waits records that a stream was sent and waits for its first event. stallTimeout applies to the
-// streams at the target.
+// Waits records that a stream was sent and waits for its first event. stallTimeout applies from now
+// on to all running streams of the target.
 func (p *Picker) Waits(t *Target, stallTimeout time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,10 +206,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateFloor(model, now.Sub(sent))
-	p.statsOf(model).addFirst(now.Sub(sent))
+	p.statsOf(model).addFirstEvent(now.Sub(sent))
 	r := p.record(t.incarnation())
 	r.running++
-	r.lastFirst, r.lastFirstAt = now.Sub(sent), now
+	r.lastFirstEvent, r.lastFirstEventAt = now.Sub(sent), now
 	r.endWait(sent)
 }
 
@@ -213,30 +218,31 @@
 const floorRise = 0.001
 
 // updateFloor updates the fastest recent first event of a model; p.mu is held.
-func (p *Picker) updateFloor(model string, first time.Duration) {
+func (p *Picker) updateFloor(model string, wait time.Duration) {
 	floor, known := p.floors[model]
-	if !known || first < floor {
-		p.floors[model] = first
+	if !known || wait < floor {
+		p.floors[model] = wait
 		return
 	}
-	p.floors[model] = floor + time.Duration(floorRise*float64(first-floor))
+	p.floors[model] = floor + time.Duration(floorRise*float64(wait-floor))
 }
 
-// Floor returns the fastest recent first event of a model, that is without queueing; 0: unknown.
+// Floor returns the fastest recent first event of a model, which is the time
+// that one takes without queueing; 0: unknown.
 func (p *Picker) Floor(model string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.floors[model]
 }
 
-// Done ends a request at a target.
+// Done records the end of a plain request at a target, or that a picked target is not used.
 func (p *Picker) Done(t *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.record(t.incarnation()).inFlight--
 }
 
-// Ended ends a stream that was sent at a time; ran reports whether it had any event.
+// Ended records the end of a stream that was sent at a time; ran reports whether it had any event.
 func (p *Picker) Ended(t *Target, sent time.Time, ran bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,7 +260,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.record(t.incarnation())
-	r.progress, r.used, r.suspicion = now, now, 0
+	r.progressAt, r.usedAt, r.suspicion = now, now, 0
 }
 
 // Suspect records that a target failed; it is avoided for a while.
@@ -288,7 +294,7 @@
 	return out
 }
 
-// Still returns the instances whose running streams are stalled, or that failed recently.
+// Still returns the instances whose running streams are stalled, and those that failed recently.
 func (p *Picker) Still(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -335,7 +341,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, r := range p.records {
-		if r.inFlight == 0 && now.Sub(r.used) > recordTTL {
+		if r.inFlight == 0 && now.Sub(r.usedAt) > recordTTL {
 			delete(p.records, id)
 		}
 	}
--- a/internal/dispatch/picker_bench_test.go
+++ b/internal/dispatch/picker_bench_test.go
@@ -9,8 +9,8 @@
 	"pearlanding/internal/fleet"
 )
 
-// BenchmarkPick measures one choice among replicas, part of which this daemon used recently, with
-// known loads of other daemons.
+// BenchmarkPick measures one choice among replicas, some of which this daemon used recently, while
+// the loads of other daemons are known.
 func BenchmarkPick(b *testing.B) {
 	for _, replicas := range []int{75, 750, 2050} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
--- a/internal/dispatch/picker_test.go
+++ b/internal/dispatch/picker_test.go
@@ -59,8 +59,8 @@
 	must.Eq(t, Unknown, p.Health(&here, t0.Add(time.Second)))
 }
 
-// A stalled stream is moved at once; the planning daemon must still learn of the stall, unless the
-// target made progress since.
+// A stalled stream is moved at once; the daemon that plans placements must still learn of the stall,
+// unless the target made progress since.
 func TestRecentStallsAreListed(t *testing.T) {
 	p := testPicker()
 	must.SliceEmpty(t, p.Stopped(t0))
@@ -72,7 +72,7 @@
 	must.SliceEmpty(t, p.Stopped(t0.Add(2*time.Millisecond)))
 }
 
-func TestSuspicionDoublesUntilTheTargetAnswers(t *testing.T) {
+func TestSuspicionDoublesUntilProgress(t *testing.T) {
 	p := testPicker()
 	now := t0
 	for _, want := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion, maxSuspicion} {
@@ -90,21 +90,21 @@
 func TestEarliestFirstEventCountsWaitsAndLastFirstEvent(t *testing.T) {
 	p := testPicker()
 	targets := []Target{here, there}
-	least, ok := p.earliestFirstEvent(targets, t0)
+	lowest, ok := p.earliestFirstEvent(targets, t0)
 	must.True(t, ok)
-	must.Eq(t, 0, least)
+	must.Eq(t, 0, lowest)
 	for i := range targets {
 		p.Pick(targets[i:i+1], nil, t0)
 		p.Waits(&targets[i], minStallTimeout, t0)
 	}
-	least, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
-	must.Eq(t, 300*time.Millisecond, least)
+	lowest, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
+	must.Eq(t, 300*time.Millisecond, lowest)
 	p.Progressed(&there, t0.Add(200*time.Millisecond))
 	p.Runs(&there, "m", t0, t0.Add(200*time.Millisecond))
-	least, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
-	must.Eq(t, 100*time.Millisecond, least, must.Sprint("its queue has been draining for a tenth of a second"))
-	least, _ = p.earliestFirstEvent(targets, t0.Add(400*time.Millisecond))
-	must.Eq(t, 0, least)
+	lowest, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
+	must.Eq(t, 100*time.Millisecond, lowest, must.Sprint("its queue has been draining for a tenth of a second"))
+	lowest, _ = p.earliestFirstEvent(targets, t0.Add(400*time.Millisecond))
+	must.Eq(t, 0, lowest)
 	p.Suspect(&here, t0)
 	p.Suspect(&there, t0)
 	_, ok = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -7,25 +7,26 @@
 
 // Parameters of a pool.
 const (
-	// poolDecay is the time constant with which handed over credit decays. With the one repeat
-	// that each daemon keeps, a window of ten seconds may then spend the credit of eleven seconds:
-	// 0.18 x 11 = 1.98 seconds of requests, of the 2 that the rule allows.
+	// poolDecay is the time constant with which credit in the pool decays. With the one retry that
+	// each daemon keeps, retries in a window of ten seconds may then spend the credit of eleven
+	// seconds. At a ratio of 0.2, of which usedRatio leaves 0.18, that is 0.18 x 11 = 1.98 seconds
+	// of requests, of the 2 that the rule allows.
 	poolDecay = time.Second
-	// extraShare is the share of the rule's extra repeats that pools receive without requests,
+	// extraShare is the share of the rule's extra retries that pools receive without requests,
 	// split evenly over windows and pools: after a start, or for a service of few requests, no
-	// credit has accrued. The remainder is for the repeat that each daemon keeps, and for two pools
+	// credit has accrued. The remainder is for the retry that each daemon keeps, and for two pools
 	// in one zone while relays change.
 	extraShare = 0.25
 )
 
-// PoolRule says what a pool receives beside the credit that is handed over to it.
+// PoolRule determines the credit that a pool receives in addition to what daemons hand over.
 type PoolRule struct {
-	Extra  float64 // repeats per window of all daemons together, beside the ratio
+	Extra  float64 // retries per window of all daemons together, in addition to the ratio
 	Window time.Duration
 	Pools  int // number of pools that share it
 }
 
-// refillRate returns the repeats a second that one pool receives without requests.
+// refillRate returns the retries a second that one pool receives without requests.
 func (r PoolRule) refillRate() float64 {
 	if r.Window <= 0 || r.Pools <= 0 {
 		return 0
@@ -33,9 +34,10 @@
 	return extraShare * r.Extra / r.Window.Seconds() / float64(r.Pools)
 }
 
-// Pool holds surplus credit for repeats, by service, for daemons that have used up their own: a
+// Pool holds surplus credit for retries, by service, for daemons that have used up their own: a
 // daemon with few requests has no credit when it needs it, while all daemons together use a part
-// of theirs. A new holder of the pool starts with none. Safe for concurrent use; time is passed
+// of theirs. A daemon that takes over as the relay starts with an empty
+// pool. Safe for concurrent use; time is passed
 // in.
 type Pool struct {
 	mu       sync.Mutex
@@ -44,7 +46,7 @@
 
 type pooledCredit struct {
 	credit
-	accruedAt time.Time // time up to which the rule's extra was added
+	accruedAt time.Time // time up to which the rule's extra retries were added
 }
 
 // credit returns the credit of a service as of now; p.mu is held.
@@ -57,25 +59,25 @@
 		c = &pooledCredit{credit: credit{decay: poolDecay}, accruedAt: now}
 		p.services[service] = c
 	}
-	if since := now.Sub(c.accruedAt); since > 0 {
-		c.add(rule.refillRate()*min(since, poolDecay).Seconds(), now)
+	if elapsed := now.Sub(c.accruedAt); elapsed > 0 {
+		c.add(rule.refillRate()*min(elapsed, poolDecay).Seconds(), now)
 		c.accruedAt = now
 	}
 	return c
 }
 
 // Put adds the credit that a daemon handed over, by service.
-func (p *Pool) Put(repeats map[string]float64, rule PoolRule, now time.Time) {
+func (p *Pool) Put(credit map[string]float64, rule PoolRule, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for service, n := range repeats {
+	for service, n := range credit {
 		if n > 0 {
 			p.credit(service, rule, now).add(n, now)
 		}
 	}
 }
 
-// Take takes one repeat; false: there is none.
+// Take takes the credit of one retry; false: the service has less than that.
 func (p *Pool) Take(service string, rule PoolRule, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -13,16 +13,16 @@
 	sharedLoad
 	zones            int
 	handOverInterval time.Duration // between two times that a daemon hands over its surplus
-	failOneIn        int           // from failFrom on, one in this many requests of a daemon fails at first
+	failOneIn        int           // from failFrom on, the first send of one request in this many fails
 	poolRestarts     []time.Duration
-	// failUntil, if set, is when requests no longer fail. percent, if set, is how many of a hundred
-	// fail. One in sparedOneIn daemons is not restarted.
+	// failUntil, if set, is when requests no longer fail. percent, if set, replaces failOneIn. One
+	// daemon in sparedOneIn, if set, is not restarted.
 	failUntil   time.Duration
 	percent     int
 	sparedOneIn int
 }
 
-// failed reports whether a request at a time fails at first.
+// failed reports whether the first send of a request at a time fails.
 func (l pooledLoad) failed(at time.Duration, rng *rand.Rand) bool {
 	switch {
 	case at < l.failFrom, l.failUntil > 0 && at >= l.failUntil:
@@ -40,7 +40,7 @@
 	restarts     []time.Duration
 }
 
-// simulate returns what the daemons did, and how many requests were not repeated.
+// simulate returns what the daemons did, and how many failed requests were not retried.
 func (l pooledLoad) simulate(pooled bool) (counts sharedCounts, unserved int) {
 	steps := int(l.duration / halfSecond)
 	counts = sharedCounts{make([]int, steps), make([]int, steps)}
@@ -82,7 +82,7 @@
 			continue
 		}
 		if d.budget.Repeat(testRule, now) || pooled && pool.Take("s", rule, now) {
-			counts.repeats[at/halfSecond]++
+			counts.retries[at/halfSecond]++
 		} else {
 			unserved++
 		}
@@ -90,18 +90,18 @@
 	return counts, unserved
 }
 
-// large is the load of 295 daemons in five zones with 937 requests a second.
-var large = pooledLoad{zones: 5, handOverInterval: 600 * time.Millisecond, failOneIn: 2,
+// largeLoad is the load of 295 daemons in five zones with 937 requests a second.
+var largeLoad = pooledLoad{zones: 5, handOverInterval: 600 * time.Millisecond, failOneIn: 2,
 	sharedLoad: sharedLoad{daemons: 295, interval: 295 * time.Second / 937, duration: 40 * time.Second, extra: 672}}
 
-// Guards against unserved requests of daemons whose budget is used up: each of 295 daemons accrues
-// credit by itself, starts with none and saves little. In the logs of 22 daemons of a normal day, 15
-// of 21 unserved requests failed for it after one send of a few ms ("retry_budget_spent"), though an
-// engine had reported that it did not run them. All daemons made a ninth of the allowed repeats.
+// Guards against unserved requests at daemons whose budget is used up: each of 295 daemons accrues
+// credit by itself, starts with none and accrues little. In the logs of 22 daemons of a normal day, 15
+// of 21 unserved requests failed for this reason after one send of a few ms ("retry_budget_spent"), though an
+// engine had reported that it did not run them. All daemons together made a ninth of the allowed retries.
 //
-// One request in twenty fails at first, from the third second on.
+// The first send of one request in twenty fails, from the third second on.
 func TestPoolAllowsResendOfRequestsThatDidNotRun(t *testing.T) {
-	load := large
+	load := largeLoad
 	load.failOneIn, load.failFrom = 20, 2*time.Second
 	_, withoutPools := load.simulate(false)
 	_, withPools := load.simulate(true)
@@ -109,17 +109,17 @@
 }
 
 // A service with few requests at each daemon, of which one in seven fails. Without a pool, each
-// daemon needs 14 seconds to accrue one repeat.
+// daemon needs 14 seconds to accrue one retry.
 func TestPoolServesDaemonsWithFewRequests(t *testing.T) {
-	load := large
+	load := largeLoad
 	load.interval, load.failOneIn = 295*time.Second/112, 7
 	_, withoutPools := load.simulate(false)
 	_, withPools := load.simulate(true)
 	must.Less(t, withoutPools/3, withPools, must.Sprint("without pools ", withoutPools))
 }
 
-// Every second request fails at first. However often all daemons and all pools restart, no window
-// has more repeats than the rule allows.
+// The first send of every second request fails. However often all daemons and all pools restart, no
+// window has more retries than the rule allows.
 func TestPoolStaysWithinSharedLimit(t *testing.T) {
 	seconds := func(at ...float64) (out []time.Duration) {
 		for _, s := range at {
@@ -140,7 +140,7 @@
 		"few requests":             func(l *pooledLoad) { l.interval = 295 * time.Second / 112 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			load := large
+			load := largeLoad
 			change(&load)
 			counts, _ := load.simulate(true)
 			must.LessEq(t, 0, load.excess(counts))
@@ -150,7 +150,7 @@
 
 // Two loads of recorded days. Engines refuse 45 of 100 requests for eleven seconds; four seconds in,
 // nine tenths of the daemons and their pools are killed. And 40 of 100 streams break off for five
-// seconds. At any size and moment, no window has more repeats than the rule allows.
+// seconds. At any size and moment, no window has more retries than the rule allows.
 func TestRefusalsAndBrokenStreamsStayWithinSharedLimit(t *testing.T) {
 	sizes := map[string]func(*pooledLoad){
 		"large":    func(*pooledLoad) {},
@@ -159,7 +159,7 @@
 	}
 	for size, change := range sizes {
 		for _, from := range []time.Duration{0, 3 * time.Second, 6 * time.Second, 17 * time.Second} {
-			load := large
+			load := largeLoad
 			change(&load)
 			load.failFrom, load.failUntil, load.percent, load.sparedOneIn = from, from+11*time.Second, 45, 10
 			load.restarts = []time.Duration{from + 4*time.Second}
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -17,41 +17,41 @@
 
 // record holds this daemon's own observations of a target.
 type record struct {
-	stallTimeout time.Duration // how long running streams may be silent
-	inFlight     int
-	running      int           // of these, streams that had an event
-	waiting      []time.Time   // send times of streams without an event, oldest first
-	lastFirst    time.Duration // wait for the last first event
-	lastFirstAt  time.Time
-	progress     time.Time // last progress of any request
-	suspectUntil time.Time
-	suspicion    time.Duration // duration of the last suspicion; doubled by the next one
-	stalledAt    time.Time     // when a running stream was last moved because of a stall
-	group        fleet.Key     // that the target led at the last send
-	used         time.Time
+	stallTimeout     time.Duration // how long running streams may be silent
+	inFlight         int
+	running          int           // of these, streams that had an event
+	waiting          []time.Time   // send times of streams without an event, oldest first
+	lastFirstEvent   time.Duration // wait for the last first event
+	lastFirstEventAt time.Time
+	progressAt       time.Time // last progress of any request
+	suspectUntil     time.Time
+	suspicion        time.Duration // duration of the last suspicion, doubled by the next one; 0: none, or progress since
+	stalledAt        time.Time     // when a running stream was last moved because of a stall
+	group            fleet.Key     // group that the target led at the last send
+	usedAt           time.Time
 }
 
 // stalled reports whether the running streams of the target are silent beyond the stall timeout.
 func (r *record) stalled(now time.Time) bool {
-	return r.running > 0 && now.Sub(r.progress) > r.stallTimeout
+	return r.running > 0 && now.Sub(r.progressAt) > r.stallTimeout
 }
 
 // stalledRecently reports whether running streams stalled recently without progress since.
 func (r *record) stalledRecently(now time.Time) bool {
-	return r.stalled(now) || now.Sub(r.stalledAt) < recentStall && r.progress.Before(r.stalledAt)
+	return r.stalled(now) || now.Sub(r.stalledAt) < recentStall && r.progressAt.Before(r.stalledAt)
 }
 
-// alive reports whether running streams make progress.
-func (r *record) alive(now time.Time) bool { return r.running > 0 && !r.stalled(now) }
+// progressing reports whether running streams make progress.
+func (r *record) progressing(now time.Time) bool { return r.running > 0 && !r.stalled(now) }
 
 // expectedWait returns a lower bound of the wait for the next first event: the longest wait of
-// waiting streams, or the last measured wait less the time since, if more. The time since is
-// taken off because a queue drains while nothing is sent; otherwise a target would be avoided long
+// waiting streams, or the last measured wait less the time since then, whichever is more. The time
+// since is subtracted because a queue drains while nothing is sent; otherwise a target would be avoided long
 // after its queue was gone.
 func (r *record) expectedWait(now time.Time) time.Duration {
 	d := r.oldestWait(now)
-	if now.Sub(r.lastFirstAt) < firstEventTTL {
-		d = max(d, r.lastFirst-now.Sub(r.lastFirstAt))
+	if now.Sub(r.lastFirstEventAt) < firstEventTTL {
+		d = max(d, r.lastFirstEvent-now.Sub(r.lastFirstEventAt))
 	}
 	return d
 }
--- a/internal/dispatch/replay_test.go
+++ b/internal/dispatch/replay_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// simReplica is a queue that serves one first event each 50 ms, which reaches the caller 150 ms after
+// simReplica is a queue that serves one first event each 50 ms. It reaches the caller 150 ms after
 // the send at the earliest.
 type simReplica struct {
 	freeAt time.Time
@@ -19,7 +19,7 @@
 
 const (
 	serviceTime = 50 * time.Millisecond
-	quickest    = 150 * time.Millisecond
+	minLatency  = 150 * time.Millisecond
 	objective   = 300 * time.Millisecond
 )
 
@@ -28,14 +28,14 @@
 		r.freeAt = now
 	}
 	r.freeAt = r.freeAt.Add(serviceTime)
-	at := r.freeAt.Add(quickest - serviceTime)
+	at := r.freeAt.Add(minLatency - serviceTime)
 	r.events = append(r.events, firstEvent{now, at})
 	return at.Sub(now)
 }
 
 // replayOverload sends twice the capacity of a replica for three seconds, then half of it for five.
 // It returns how many of the streams sent in the last four seconds had a late first event, how many
-// were sent in these, and how many were refused in all.
+// streams were sent in those seconds, and how many were refused in all.
 func replayOverload(admit func(p *Picker, now time.Time) bool) (late, sent, refused int) {
 	p, r, start := testPicker(), &simReplica{}, t0
 	for now := start; now.Sub(start) < 8*time.Second; {
@@ -68,7 +68,7 @@
 	return late, sent, refused
 }
 
-// Twice the capacity for three seconds, then half of it. Streams admitted a second later are in
+// Twice the capacity for three seconds, then half of it. Streams sent from a second later on are in
 // time: the backlog does not outlast the overload.
 func TestBacklogDrainsAfterOverload(t *testing.T) {
 	late, sent, refused := replayOverload(func(p *Picker, now time.Time) bool {
@@ -105,12 +105,12 @@
 	}
 }
 
-// A third of the daemons lose the store, refuse what needs a proof, and callers retry at others.
-// With a retry after 100 ms, callers due in 200 ms were late: a first event takes 75 ms and a link
-// 6 ms.
+// A third of the daemons lose the store and refuse requests that need a proof; their callers retry at
+// other daemons. With a retry after 100 ms, callers with an objective of 200 ms were late: a first
+// event takes 75 ms and a link 6 ms.
 func TestRetryAtAnotherDaemonMeetsObjective(t *testing.T) {
-	const links, first, due = 6 * time.Millisecond, 75 * time.Millisecond, 200 * time.Millisecond
-	must.Less(t, due, 4*links+ComeBack(Elsewhere)+first)
+	const links, first, deadline = 6 * time.Millisecond, 75 * time.Millisecond, 200 * time.Millisecond
+	must.Less(t, deadline, 4*links+ComeBack(Elsewhere)+first)
 	must.Less(t, ComeBack(Busy), ComeBack(Elsewhere), must.Sprint("full replicas need more time"))
 }
 
@@ -123,9 +123,9 @@
 
 // Guards against a short retry delay while daemons start. After all machines lost power, callers
 // refused by a daemon without configuration retried after 0.1 s at another one without it, got
-// "no_configuration" twice and gave up: 1,469 and 2,121 refusals in four seconds. The delay assumed
-// that only one daemon was affected.
-func TestRetryAfterStartingCoversStart(t *testing.T) {
+// "no_configuration" twice and failed: 1,469 and 2,121 refusals in four seconds. The delay was
+// that of a single affected daemon.
+func TestRetryDelayWhileStartingCoversStart(t *testing.T) {
 	must.GreaterEq(t, time.Second, ComeBack(Starting))
 	must.Less(t, ComeBack(Overload), ComeBack(Elsewhere))
 }
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -8,18 +8,18 @@
 )
 
 // sharedLoad is the load on all daemons of a large deployment together, and the limit on their
-// repeats: the rule's ratio of the requests, and extra more.
+// retries: the rule's ratio of the requests, and extra more.
 type sharedLoad struct {
 	daemons  int
 	interval time.Duration // between two requests to one daemon
-	failFrom time.Duration // from then on every second request fails at first
+	failFrom time.Duration // from then on the first send of every second request fails
 	duration time.Duration
 	extra    int
 	restarts []time.Duration // of all daemons
 }
 
 // sharedCounts are counts per step of halfSecond.
-type sharedCounts struct{ requests, repeats []int }
+type sharedCounts struct{ requests, retries []int }
 
 const halfSecond = 500 * time.Millisecond
 
@@ -38,37 +38,37 @@
 			budget.Request(testRule, start.Add(at))
 			counts.requests[at/halfSecond]++
 			if at >= l.failFrom && i%2 == 0 && budget.Repeat(testRule, start.Add(at)) {
-				counts.repeats[at/halfSecond]++
+				counts.retries[at/halfSecond]++
 			}
 		}
 	}
 	return counts
 }
 
-// excess returns by how many repeats the worst window exceeds the limit. Its requests are those of
-// the window, of the previous one or of the one halfway between, whichever is most.
+// excess returns by how many retries the worst window exceeds the limit. The limit follows from the
+// requests of the window, of the previous one or of the one halfway between, whichever has most.
 func (l sharedLoad) excess(c sharedCounts) int {
 	sum := func(counts []int, from, to int) (n int) {
-		for _, one := range counts[max(from, 0):max(to, 0)] {
-			n += one
+		for _, count := range counts[max(from, 0):max(to, 0)] {
+			n += count
 		}
 		return n
 	}
 	width := int(testRule.Window / halfSecond)
 	worst := -l.extra
-	for from := 0; from+width <= len(c.repeats); from++ {
+	for from := 0; from+width <= len(c.retries); from++ {
 		requests := max(sum(c.requests, from, from+width), sum(c.requests, from-width/2, from+width/2), sum(c.requests, from-width, from))
-		worst = max(worst, sum(c.repeats, from, from+width)-int(testRule.Ratio*float64(requests))-l.extra)
+		worst = max(worst, sum(c.retries, from, from+width)-int(testRule.Ratio*float64(requests))-l.extra)
 	}
 	return worst
 }
 
-// Guards against budgets that restarts renew. Half of the answers of all engines failed, and all
+// Guards against retry budgets that are renewed by restarts. Half of the answers of all engines failed, and all
 // daemons were killed and restarted meanwhile. New processes started with a budget beside what their
-// predecessors had repeated in the same ten seconds, and together exceeded the limit:
+// predecessors had retried in the same ten seconds, and together exceeded the limit:
 //
-//	killed once:   1652 repeats in 10 s for 6915 requests, 1648 allowed
-//	three times:   1856 repeats in 10 s for 6888 requests, 1643 allowed
+//	killed once:   1652 retries in 10 s for 6915 requests, 1648 allowed
+//	three times:   1856 retries in 10 s for 6888 requests, 1643 allowed
 //	not killed:    within the limit, same load
 func TestRestartsStayWithinSharedBudget(t *testing.T) {
 	for name, restarts := range map[string][]time.Duration{
@@ -79,7 +79,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			load := sharedLoad{daemons: 90, interval: time.Second / 7, failFrom: 6 * time.Second, duration: 30 * time.Second, extra: 265, restarts: restarts}
-			must.LessEq(t, 0, load.excess(load.simulate()), must.Sprint("repeats beyond the limit"))
+			must.LessEq(t, 0, load.excess(load.simulate()), must.Sprint("retries beyond the limit"))
 		})
 	}
 }
--- a/internal/dispatch/retryafter.go
+++ b/internal/dispatch/retryafter.go
@@ -7,24 +7,25 @@
 
 // Reasons of refusals.
 const (
-	// Elsewhere: this daemon can't resolve the cause itself; another one, to which a retry goes,
-	// may serve at once.
+	// Elsewhere: this daemon can't remove the cause itself; another daemon, to which a retry goes,
+	// may serve the request at once.
 	Elsewhere RefusalReason = iota
 	// Busy: the upstreams that were tried are full or gone.
 	Busy
 	// Overload: all replicas have queues.
 	Overload
 	// Starting: this daemon has just started and has no configuration yet. Callers reach such a
-	// daemon while most daemons of its zone start or have just stopped, so another one is no
-	// better.
+	// daemon while most daemons of its zone start or have just stopped, so another daemon is
+	// no better.
 	Starting
 )
 
-// Retry delays. That for overload is about the time in which a queue of one batch drains.
+// Retry delays.
 const (
 	retryAfterBusy = 100 * time.Millisecond
 	// retryAfterLocal leaves most of the objective: another daemon serves at once.
-	retryAfterLocal    = 10 * time.Millisecond
+	retryAfterLocal = 10 * time.Millisecond
+	// retryAfterOverload is about the time in which a queue of one batch drains.
 	retryAfterOverload = 400 * time.Millisecond
 	// retryAfterStarting is about the time from start to the first served request after all
 	// machines lost power: earlier retries are refused again.
@@ -47,17 +48,17 @@
 // maxRetryAfter bounds retry delays that instances ask for.
 const maxRetryAfter = 10 * time.Second
 
-// ComeBackAfter returns the retry delay if instances have capacity again after a time.
-func ComeBackAfter(free time.Duration) time.Duration {
-	return min(max(free, retryAfterBusy), maxRetryAfter)
+// ComeBackAfter returns the retry delay for a request that instances can accept after freeAfter.
+func ComeBackAfter(freeAfter time.Duration) time.Duration {
+	return min(max(freeAfter, retryAfterBusy), maxRetryAfter)
 }
 
-// maxWaitShare is the share of the objective beyond the fastest answer that a request may wait
-// for an instance. The remainder is for other requests that waited for the same instance.
+// maxWaitShare is the share of the time between the fastest answer and the objective that a request
+// may wait for an instance. The remainder is for other requests that wait for the same instance.
 const maxWaitShare = 0.5
 
-// WorthWaiting reports whether a request with some of its objective left should wait for an
-// instance that is free after a time, where the fastest answer takes floor.
-func WorthWaiting(free, left, floor time.Duration) bool {
-	return free > 0 && free <= time.Duration(maxWaitShare*float64(left-floor))
+// WorthWaiting reports whether a request should wait for an instance that accepts it after
+// freeAfter. remaining is what is left of its objective; the fastest answer takes floor.
+func WorthWaiting(freeAfter, remaining, floor time.Duration) bool {
+	return freeAfter > 0 && freeAfter <= time.Duration(maxWaitShare*float64(remaining-floor))
 }
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -9,7 +9,7 @@
 	"pearlanding/internal/routes"
 )
 
-// readingEngine runs a full batch at 12.3 ms a step and reads up to 2,048 prompt tokens a step in
+// readingEngine runs a full batch at 12.3 ms a step and reads up to 2,048 prompt tokens per step in
 // another 44.5 ms: a pass of five steps takes 284 ms at pace 1.
 func readingEngine() *routes.Engine {
 	return &routes.Engine{Slots: 26, Step: 6070 * time.Microsecond, PerRequest: 241 * time.Microsecond,
--- a/internal/dispatch/stalltimeout.go
+++ b/internal/dispatch/stalltimeout.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Patience holds the stall timeouts of a stream: after them it is moved to another replica.
+// Patience holds the stall timeouts of a stream, which is moved to another replica after them.
 type Patience struct {
 	First time.Duration // until its first event
 	Pause time.Duration // between two events
 }
 
-// StreamLimits are the limits on a stream's silence by its route and the published costs.
+// StreamLimits are the limits on a stream's silence that follow from its route and from the
+// published costs of its engine.
 type StreamLimits struct {
 	Model     string
 	Objective time.Duration // for the first event; 0: none
@@ -16,11 +17,11 @@
 	Longest   time.Duration // longest pass of its replica by the published costs; 0: unknown
 }
 
-// Patience returns the stall timeouts of a stream. For a pause it is the time at which a successor
-// can still meet the objective, but not before the pause is unusual: a stream moved later is late
-// in any case, and one moved while its replica only reads a prompt makes another replica read it
+// Patience returns the stall timeouts of a stream. The timeout of a pause ends when a successor can
+// still meet the objective, but not before the pause is unusual: a stream moved later is late in
+// any case, and one moved while its replica only reads a prompt makes another replica read it
 // again. Until enough pauses were observed the objective itself applies: with the published costs
-// alone, streams of a large model would be late because of their moves.
+// alone as the limit, streams of a large model would be late because they were moved.
 func (p *Picker) Patience(limits StreamLimits) Patience {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +34,7 @@
 		timeouts.Pause = max(limits.Longest, defaultGap)
 	}
 	if longest, known := stats.longestPause(); known && limits.Gap > 0 {
-		timeouts.Pause = max(limits.Gap-stats.meanFirst, time.Duration(unusualFactor*float64(longest)))
+		timeouts.Pause = max(limits.Gap-stats.meanFirstEvent, time.Duration(unusualFactor*float64(longest)))
 	}
 	if limits.Longest > 0 {
 		timeouts.Pause = min(timeouts.Pause, max(limits.Longest, limits.Gap))
@@ -53,45 +54,45 @@
 	pauseWindowSize = 5000
 	// minPauses is the number of pauses that must be observed before they are used.
 	minPauses = 300
-	// meanFirstWeight is the weight of a new wait for a first event in their moving average.
-	meanFirstWeight = 0.1
+	// meanFirstEventWeight is the weight of a new wait for a first event in the moving average.
+	meanFirstEventWeight = 0.1
 )
 
 // modelStats are recent observations of a model's streams at this daemon.
 type modelStats struct {
-	meanFirst time.Duration // moving average of the wait for a first event; 0: none observed
+	meanFirstEvent time.Duration // moving average of the wait for a first event; 0: none observed
 	// The longest pauses between events, in the current window and in the previous one.
 	current, previous pauseWindow
 }
 
-// pauseWindow is the longest of a number of pauses.
+// pauseWindow is a number of pauses and the longest of them.
 type pauseWindow struct {
-	seen    int
+	count   int
 	longest time.Duration
 }
 
 // longestPause returns the longest recent pause; false: too few were observed.
-func (u *modelStats) longestPause() (time.Duration, bool) {
-	return max(u.current.longest, u.previous.longest), u.current.seen+u.previous.seen >= minPauses
+func (s *modelStats) longestPause() (time.Duration, bool) {
+	return max(s.current.longest, s.previous.longest), s.current.count+s.previous.count >= minPauses
 }
 
 // addPause adds a pause.
-func (u *modelStats) addPause(pause time.Duration) {
-	if u.current.seen == pauseWindowSize {
-		u.previous, u.current = u.current, pauseWindow{}
+func (s *modelStats) addPause(pause time.Duration) {
+	if s.current.count == pauseWindowSize {
+		s.previous, s.current = s.current, pauseWindow{}
 	}
-	u.current.seen++
-	u.current.longest = max(u.current.longest, pause)
+	s.current.count++
+	s.current.longest = max(s.current.longest, pause)
 }
 
 // statsOf returns the statistics of a model; p.mu is held.
 func (p *Picker) statsOf(model string) *modelStats {
-	u := p.stats[model]
-	if u == nil {
-		u = &modelStats{}
-		p.stats[model] = u
+	s := p.stats[model]
+	if s == nil {
+		s = &modelStats{}
+		p.stats[model] = s
 	}
-	return u
+	return s
 }
 
 // Paused records a pause between two events of a running stream of a model.
@@ -101,10 +102,10 @@
 	p.statsOf(model).addPause(pause)
 }
 
-// addFirst adds the wait for a first event; p.mu is held.
-func (u *modelStats) addFirst(first time.Duration) {
-	if u.meanFirst == 0 {
-		u.meanFirst = first
+// addFirstEvent adds the wait for a first event; p.mu is held.
+func (s *modelStats) addFirstEvent(wait time.Duration) {
+	if s.meanFirstEvent == 0 {
+		s.meanFirstEvent = wait
 	}
-	u.meanFirst += time.Duration(meanFirstWeight * float64(first-u.meanFirst))
+	s.meanFirstEvent += time.Duration(meanFirstEventWeight * float64(wait-s.meanFirstEvent))
 }
--- a/internal/dispatch/stalltimeout_test.go
+++ b/internal/dispatch/stalltimeout_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Three generations of engines: one that runs a step in 6 ms, one four times slower and one four
-// times quicker, with objectives to match. Streams differ only in scale.
+// generations returns the time scales of three generations of engines: one that runs a step in 6 ms,
+// one four times slower and one four times quicker, with objectives to match.
 func generations() map[string]float64 {
 	return map[string]float64{"current": 1, "slower": 4, "quicker": 0.25}
 }
@@ -22,8 +22,8 @@
 	return StreamLimits{Model: "m", Objective: scaled(300*time.Millisecond, scale), Gap: scaled(300*time.Millisecond, scale), Longest: scaled(434*time.Millisecond, scale)}
 }
 
-// drawPause draws a pause of a replica that reads a prompt in each third pass, which takes reading
-// on average and about four times that at most.
+// drawPause draws a pause of a replica that reads a prompt in about each third pass. That takes reading
+// on average and four times that at most.
 func drawPause(rng *rand.Rand, reading time.Duration) time.Duration {
 	pass := 45 * time.Millisecond
 	if rng.IntN(3) == 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A member of a replica dies in mid-stream. Waiting for as long as its longest pass, or for the
-// objective itself, made each stream late by a pause. A successor needs about the time of a first
+// A member of a replica dies in mid-stream. Moving its streams after its longest pass, or after the
+// objective itself, made each of them late by a pause. A successor needs about the time of a first
 // event, so streams are moved that much before the objective.
 func TestStreamOfDeadReplicaIsMovedInTime(t *testing.T) {
 	for name, scale := range generations() {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Replicas read long prompts all the time, so that a pause may take twice the usual one. A stream
+// Replicas read long prompts all the time, so that a pause may be twice as long as most. A stream
 // moved for such a pause makes another replica read its prompt again, which then pauses longer
 // itself.
 func TestStreamsAreNotMovedWhileReplicasReadPrompts(t *testing.T) {
@@ -79,7 +79,7 @@
 }
 
 // Prompts get longer, until each pass takes as long as the objective for pauses allows. A stream
-// moved then is late all the same, and makes another replica read its prompt again.
+// moved for such a pause is late all the same, and makes another replica read its prompt again.
 func TestStallTimeoutGrowsWithObservedPauses(t *testing.T) {
 	for name, scale := range generations() {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -8,7 +8,7 @@
 // Urgency orders the requests that wait at a replica.
 type Urgency int
 
-// Urgencies. Resumed goes before InTime, which goes before Late.
+// Urgencies. Resumed is served before InTime, which is served before Late.
 const (
 	// InTime: the answer may still meet its objective.
 	InTime Urgency = iota
@@ -20,7 +20,7 @@
 
 // StreamProgress is the progress of a stream.
 type StreamProgress struct {
-	Waited    time.Duration // by the caller, including its own earlier attempts
+	Waited    time.Duration // time that the caller has waited, including its own earlier attempts
 	Objective time.Duration // for the first event; 0: none
 	Gap       time.Duration // for pauses; 0: none
 	Begun     bool          // an event was sent to the caller
@@ -46,8 +46,8 @@
 // maxTrackedRoutes bounds the routes for which callers' time limits are kept.
 const maxTrackedRoutes = 4096
 
-// firstAttemptShare of the longest time limit seen on a route is the least that a caller has left on
-// its first attempt: time limits differ between callers.
+// firstAttemptShare is the share of the longest time limit seen on a route that a caller has left at
+// least on its first attempt: time limits differ between callers.
 const firstAttemptShare = 0.8
 
 // CallerWaits tracks the time limits of the callers of each route on their first attempt: a caller
@@ -57,23 +57,24 @@
 	longest map[string]time.Duration // by route
 }
 
-// Elapsed returns the least time that a caller with some time left has already waited; 0: not sent,
-// or unknown.
-func (w *CallerWaits) Elapsed(route string, left time.Duration) time.Duration {
+// Elapsed returns the least time that a caller has already waited if its time limit leaves
+// remaining; 0: it sent no time limit, has
+// not waited, or nothing is known.
+func (w *CallerWaits) Elapsed(route string, remaining time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	longest, known := w.longest[route]
-	if left <= 0 {
+	if remaining <= 0 {
 		return 0
 	}
-	if left <= longest {
-		return max(time.Duration(firstAttemptShare*float64(longest))-left, 0)
+	if remaining <= longest {
+		return max(time.Duration(firstAttemptShare*float64(longest))-remaining, 0)
 	}
 	if w.longest == nil {
 		w.longest = map[string]time.Duration{}
 	}
 	if known || len(w.longest) < maxTrackedRoutes {
-		w.longest[route] = left
+		w.longest[route] = remaining
 	}
 	return 0
 }
--- a/internal/dispatch/urgency_test.go
+++ b/internal/dispatch/urgency_test.go
@@ -8,26 +8,26 @@
 )
 
 // All daemons lose power, and the callers of two seconds retry together, beside new ones. Callers
-// beyond their objective go behind those that may still be in time; a stream that a dead replica
-// left goes before both.
+// past their objective are served after those that may still be in time; a stream cut off by a dead
+// replica is served before both.
 func TestLateCallersAreServedLast(t *testing.T) {
-	const aim, gap = 200 * time.Millisecond, 250 * time.Millisecond
+	const firstObjective, gap = 200 * time.Millisecond, 250 * time.Millisecond
 	var w CallerWaits
 	must.Eq(t, 0, w.Elapsed("r", 5*time.Second))
 	must.Eq(t, 0, w.Elapsed("r", 4300*time.Millisecond), must.Sprint("time limits differ between callers"))
 	must.Eq(t, 500*time.Millisecond, w.Elapsed("r", 3500*time.Millisecond))
-	must.Eq(t, 0, w.Elapsed("other", time.Second), must.Sprint("each route has its own"))
+	must.Eq(t, 0, w.Elapsed("other", time.Second), must.Sprint("time limits are kept per route"))
 	must.Eq(t, 0, w.Elapsed("r", 0), must.Sprint("no time limit sent"))
 	for name, c := range map[string]struct {
 		progress StreamProgress
 		want     Urgency
 	}{
-		"new":                      {StreamProgress{Objective: aim, Gap: gap}, InTime},
-		"retried after the outage": {StreamProgress{Waited: 1500 * time.Millisecond, Objective: aim, Gap: gap}, Late},
-		"moved before its first":   {StreamProgress{Waited: 150 * time.Millisecond, Objective: aim, Gap: gap}, InTime},
-		"moved in mid-stream":      {StreamProgress{Waited: time.Second, Objective: aim, Gap: gap, Begun: true, First: 100 * time.Millisecond}, Resumed},
-		"moved, first came late":   {StreamProgress{Waited: time.Second, Objective: aim, Gap: gap, Begun: true, First: 300 * time.Millisecond}, Late},
-		"moved, paused too long":   {StreamProgress{Objective: aim, Gap: gap, Begun: true, Pause: 300 * time.Millisecond}, Late},
+		"new":                      {StreamProgress{Objective: firstObjective, Gap: gap}, InTime},
+		"retried after the outage": {StreamProgress{Waited: 1500 * time.Millisecond, Objective: firstObjective, Gap: gap}, Late},
+		"moved before its first":   {StreamProgress{Waited: 150 * time.Millisecond, Objective: firstObjective, Gap: gap}, InTime},
+		"moved in mid-stream":      {StreamProgress{Waited: time.Second, Objective: firstObjective, Gap: gap, Begun: true, First: 100 * time.Millisecond}, Resumed},
+		"moved, first came late":   {StreamProgress{Waited: time.Second, Objective: firstObjective, Gap: gap, Begun: true, First: 300 * time.Millisecond}, Late},
+		"moved, paused too long":   {StreamProgress{Objective: firstObjective, Gap: gap, Begun: true, Pause: 300 * time.Millisecond}, Late},
 		"no objective":             {StreamProgress{Waited: time.Hour}, InTime},
 		"no objective, mid-stream": {StreamProgress{Waited: time.Hour, Begun: true, Pause: time.Minute}, Resumed},
 	} {
