--- a/internal/backpressure/backoff.go
+++ b/internal/backpressure/backoff.go
@@ -7,7 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// startBackoff starts a backoff that an incarnation asked for. Of two, the later end applies.
+// startBackoff starts a backoff that an incarnation asked for. Of two backoffs, the later end
+// applies.
 func (g *Gate) startBackoff(inc Life, duration time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,7 +35,7 @@
 	maps.DeleteFunc(g.backoffs, func(_ Life, until time.Time) bool { return !now.Before(until) })
 }
 
-// Resting returns the number of incarnations to which this daemon is backing off.
+// Resting returns the number of incarnations from which this daemon is backing off.
 func (g *Gate) Resting(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/backpressure/fleet_test.go
+++ b/internal/backpressure/fleet_test.go
@@ -13,13 +13,14 @@
 	"go.uber.org/zap"
 )
 
-// The rule on instances with a limit, as deployments set it.
+// The rule on instances with a limit, as deployments set it: in any window, the arrivals from aware
+// daemons are at most ratio times the limit, plus extra.
 const (
 	window       = 4 * time.Second
-	firstContact = 3 * time.Second        // after the limit is first named
-	awareAfter   = 500 * time.Millisecond // after a daemon passed the first such answer on to its caller
-	// awareAfterStart is how long after its start a daemon counts as aware in any case. This is stricter
-	// than the rule, as others have to inform it.
+	firstContact = 3 * time.Second        // after the limit is first named, the rule applies
+	awareAfter   = 500 * time.Millisecond // after it passed the first answer with the limit on, a daemon is aware
+	// awareAfterStart is how long after its start a daemon counts as aware in any case. This is
+	// stricter than the rule, as other daemons have to inform it of the limit.
 	awareAfterStart = 3 * time.Second
 	ratio           = 1.5
 	extra           = 5.0
@@ -32,29 +33,29 @@
 
 // simDaemon is one daemon that sends to the simulated instance.
 type simDaemon struct {
-	name          string
-	zone          int
-	gate          *Gate
-	phase         time.Duration // of its exchanges
-	rate          float64       // requests a second that may go to the instance
-	startedAt     time.Time     // of its process
-	firstAnswerAt time.Time     // when it passed on the first answer with the current limit; zero: none
-	cutOff        bool          // from its relay
+	name           string
+	zone           int
+	gate           *Gate
+	exchangeOffset time.Duration // time offset of its exchanges
+	rate           float64       // requests a second that may go to the instance
+	startedAt      time.Time     // start of its process
+	firstAnswerAt  time.Time     // when it passed on the first answer with the current limit; zero: none
+	cutOff         bool          // cannot reach its relay
 }
 
 // simFleet simulates daemons of several zones, their relays and one instance.
 type simFleet struct {
-	rng     *rand.Rand
-	now     time.Time
-	daemons []*simDaemon
-	zones   []*simZone
-	limit   float64 // named by the instance; 0: none
-	pending []scheduled
-	arrived []arrival
-	delayed bool // exchanges are delayed or lost
+	rng        *rand.Rand
+	now        time.Time
+	daemons    []*simDaemon
+	zones      []*simZone
+	namedLimit float64 // requests a second that the instance names; 0: none
+	pending    []scheduled
+	arrived    []arrival
+	delayed    bool // exchanges are delayed or lost
 }
 
-// simZone is a zone with the relays that consider themselves current.
+// simZone is a zone with the daemons that act as its relay: normally one.
 type simZone struct {
 	relays []*simDaemon
 	grants map[*simDaemon]*Grants
@@ -69,7 +70,7 @@
 // arrival is a request that reached the instance.
 type arrival struct {
 	at    time.Time
-	aware bool // its daemon had learned of the limit
+	aware bool // its daemon counts as informed of the limit
 	limit float64
 }
 
@@ -79,7 +80,7 @@
 		f.zones = append(f.zones, &simZone{grants: map[*simDaemon]*Grants{}})
 	}
 	for i := range daemons {
-		d := &simDaemon{name: fmt.Sprint("d", i), zone: i % zones, phase: time.Duration(f.rng.IntN(25)) * step, rate: perSecond / float64(daemons)}
+		d := &simDaemon{name: fmt.Sprint("d", i), zone: i % zones, exchangeOffset: time.Duration(f.rng.IntN(25)) * step, rate: perSecond / float64(daemons)}
 		f.restart(d)
 		f.daemons = append(f.daemons, d)
 		if z := f.zones[d.zone]; len(z.relays) == 0 {
@@ -92,12 +93,12 @@
 // restart starts a new process of a daemon.
 func (f *simFleet) restart(d *simDaemon) {
 	d.startedAt, d.firstAnswerAt = f.now, time.Time{}
-	d.gate = NewGate(func() int { return len(f.daemons) }, func(least, most time.Duration) time.Duration {
-		return least + time.Duration(f.rng.Int64N(int64(most-least)))
+	d.gate = NewGate(func() int { return len(f.daemons) }, func(low, high time.Duration) time.Duration {
+		return low + time.Duration(f.rng.Int64N(int64(high-low)))
 	}, zap.NewNop())
 }
 
-// elect makes a daemon a relay of its zone, in addition to others.
+// elect makes a daemon a relay of its zone. Other relays of the zone stay.
 func (f *simFleet) elect(d *simDaemon) {
 	z := f.zones[d.zone]
 	z.relays = append(z.relays, d)
@@ -130,7 +131,7 @@
 			p.do()
 		}
 		for _, d := range f.daemons {
-			if (f.now.Sub(simStart)+d.phase)%(250*time.Millisecond) == 0 {
+			if (f.now.Sub(simStart)+d.exchangeOffset)%(250*time.Millisecond) == 0 {
 				f.exchange(d)
 			}
 			if f.rng.Float64() < d.rate*step.Seconds() {
@@ -148,16 +149,17 @@
 	return time.Duration(f.rng.IntN(5)) * time.Millisecond
 }
 
-// exchange is a daemon's exchange with its relay, or of a relay with others, four times a second.
+// exchange runs one exchange of a daemon with its relay, or of a relay with the other relays. Daemons
+// run it four times a second.
 func (f *simFleet) exchange(d *simDaemon) {
-	z, asked, known := f.zones[d.zone], f.now, !d.gate.Quiet()
+	z, askedAt, hasLimits := f.zones[d.zone], f.now, !d.gate.Quiet()
 	if slices.Contains(z.relays, d) {
-		d.gate.Granted(z.grants[d].Grant(d.name, d.gate.Limited(), f.shares(d.zone), asked), asked)
+		d.gate.Granted(z.grants[d].Grant(d.name, d.gate.Limited(), f.shares(d.zone), askedAt), askedAt)
 		for _, other := range f.zones {
 			for _, relay := range other.relays {
 				if relay != d && !d.gate.Quiet() {
-					updates := d.gate.Updates(asked)
-					f.after(f.delay(), func() { relay.gate.Merge(updates, ReceivedAt{asked, f.now}) })
+					updates := d.gate.Updates(askedAt)
+					f.after(f.delay(), func() { relay.gate.Merge(updates, ReceivedAt{askedAt, f.now}) })
 				}
 			}
 		}
@@ -166,27 +168,27 @@
 	if len(z.relays) == 0 || d.cutOff || f.delayed && f.rng.IntN(10) == 0 {
 		return
 	}
-	relay, updates := z.relays[f.rng.IntN(len(z.relays))], d.gate.Updates(asked)
+	relay, updates := z.relays[f.rng.IntN(len(z.relays))], d.gate.Updates(askedAt)
 	f.after(f.delay(), func() {
 		if !slices.Contains(z.relays, relay) {
 			return // the relay died
 		}
 		relay.gate.Merge(updates, ReceivedAt{f.now.Add(-200 * time.Millisecond), f.now})
 		var permits []Permits
-		if known {
+		if hasLimits {
 			permits = z.grants[relay].Grant(d.name, relay.gate.Limited(), f.shares(d.zone), f.now)
 		}
 		reply := relay.gate.Updates(f.now)
 		f.after(f.delay(), func() {
-			d.gate.Merge(reply, ReceivedAt{asked, f.now})
-			if known {
-				d.gate.Granted(permits, asked)
+			d.gate.Merge(reply, ReceivedAt{askedAt, f.now})
+			if hasLimits {
+				d.gate.Granted(permits, askedAt)
 			}
 		})
 	})
 }
 
-// request sends a request to the instance if it may, after the connection time.
+// request sends a request to the instance, if the gate permits, after the time to connect.
 func (f *simFleet) request(d *simDaemon) {
 	permit, ok := d.gate.Take(testIncarnation, f.now)
 	if !ok {
@@ -200,7 +202,7 @@
 		if gate.Closed(testIncarnation, permit, f.now) {
 			return
 		}
-		limit, refused := f.limit, f.rng.IntN(10) == 0
+		limit, refused := f.namedLimit, f.rng.IntN(10) == 0
 		aware := !d.firstAnswerAt.IsZero() && f.now.Sub(d.firstAnswerAt) >= awareAfter || f.now.Sub(d.startedAt) >= awareAfterStart
 		f.arrived = append(f.arrived, arrival{f.now, aware, limit})
 		f.after(time.Duration(1+f.rng.IntN(150))*time.Millisecond, func() {
@@ -218,10 +220,10 @@
 	})
 }
 
-// worstWindow returns the window of arrivals from aware daemons, from a time on, that exceeds the
-// largest limit in it by most, as a difference.
-func (f *simFleet) worstWindow(from time.Time) (over float64, arrivals int) {
-	over = math.Inf(-1)
+// worstWindow returns, for the window from a time on that is worst, the number of arrivals from aware
+// daemons and by how much it exceeds what the largest limit in that window allows.
+func (f *simFleet) worstWindow(from time.Time) (excess float64, arrivals int) {
+	excess = math.Inf(-1)
 	for i, first := range f.arrived {
 		if first.at.Before(from) || !first.aware {
 			continue
@@ -239,16 +241,16 @@
 		if limit == 0 {
 			continue
 		}
-		if d := float64(n) - ratio*limit*window.Seconds() - extra; d > over {
-			over, arrivals = d, n
+		if d := float64(n) - ratio*limit*window.Seconds() - extra; d > excess {
+			excess, arrivals = d, n
 		}
 	}
-	return over, arrivals
+	return excess, arrivals
 }
 
-// sizes are deployments: daemons, zones, and the least number sent of the 50 requests that a limit
-// allows in 25 s. A permit is lost if its daemon has no request for it.
-var sizes = []struct{ daemons, zones, used int }{{9, 3, 25}, {71, 3, 12}, {300, 5, 2}, {390, 11, 2}}
+// sizes are deployments. minSent is how many of the 50 requests that a limit allows in 25 s must be
+// sent at least: a permit is lost if its daemon has no request for it.
+var sizes = []struct{ daemons, zones, minSent int }{{9, 3, 25}, {71, 3, 12}, {300, 5, 2}, {390, 11, 2}}
 
 // Guards against exceeding an instance's limit by all daemons together, for any number of daemons,
 // while relays die, two relays serve one zone, daemons lose their relay or restart, and exchanges are
@@ -261,20 +263,20 @@
 					t.Parallel()
 					f := newFleet(seed, size.daemons, size.zones, max(20, 3*limit))
 					f.run(2 * time.Second)
-					f.limit = limit
-					named := f.now
+					f.namedLimit = limit
+					namedAt := f.now
 					f.run(10 * time.Second)
 					f.injectFaults()
-					over, n := f.worstWindow(named.Add(firstContact))
-					t.Logf("%d arrivals, %.1f under the limit", n, -over)
-					must.LessEq(t, 0.0, over, must.Sprintf("%d arrivals in a window", n))
+					excess, n := f.worstWindow(namedAt.Add(firstContact))
+					t.Logf("%d arrivals, %.1f under the limit", n, -excess)
+					must.LessEq(t, 0.0, excess, must.Sprintf("%d arrivals in a window", n))
 				})
 			}
 		}
 	}
 }
 
-// injectFaults injects faults for a minute.
+// injectFaults injects ten random faults, one each six seconds.
 func (f *simFleet) injectFaults() {
 	for range 10 {
 		z := f.zones[f.rng.IntN(len(f.zones))]
@@ -291,9 +293,9 @@
 			if !slices.Contains(f.zones[d.zone].relays, d) {
 				f.elect(d)
 				f.after(3*time.Second, func() {
-					of := f.zones[d.zone]
-					if len(of.relays) > 1 {
-						of.relays = of.relays[1:]
+					zone := f.zones[d.zone]
+					if len(zone.relays) > 1 {
+						zone.relays = zone.relays[1:]
 					}
 				})
 			}
@@ -315,27 +317,27 @@
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(1, size.daemons, size.zones, 100)
-			f.limit = 2
+			f.namedLimit = 2
 			f.run(10 * time.Second)
 			for _, z := range f.zones {
 				z.relays = nil
 			}
 			f.run(10 * time.Minute)
-			over, n := f.worstWindow(simStart.Add(firstContact))
-			t.Logf("%.1f under the limit", -over)
-			must.LessEq(t, 0.0, over, must.Sprintf("%d arrivals in a window", n))
+			excess, n := f.worstWindow(simStart.Add(firstContact))
+			t.Logf("%.1f under the limit", -excess)
+			must.LessEq(t, 0.0, excess, must.Sprintf("%d arrivals in a window", n))
 		})
 	}
 }
 
-// Guards against daemons that don't return to an instance whose limit has ended, and against an
-// unused limit.
+// Guards against daemons that don't return to an instance whose limit has ended, and against a limit
+// that is hardly used.
 func TestLimitIsUsedAndItsEndReachesAllDaemons(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(1, size.daemons, size.zones, 100)
-			f.limit = 2
+			f.namedLimit = 2
 			f.run(30 * time.Second)
 			n := 0
 			for _, a := range f.arrived {
@@ -344,8 +346,8 @@
 				}
 			}
 			t.Log(n, "requests")
-			must.Greater(t, size.used, n)
-			f.limit = 0
+			must.Greater(t, size.minSent, n)
+			f.namedLimit = 0
 			f.run(10 * time.Second)
 			for _, d := range f.daemons {
 				must.True(t, d.gate.Open(testIncarnation, f.now), must.Sprint(d.name))
--- a/internal/backpressure/gate.go
+++ b/internal/backpressure/gate.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// maxIncarnations bounds each of the maps of a Gate. Limits and leaving incarnations of the oldest
-// report are evicted first.
+// maxIncarnations bounds each of the maps of a Gate. When one is full, the limit or leaving
+// incarnation with the oldest report is evicted; a new backoff is ignored.
 const maxIncarnations = 8192
 
 // Gate decides whether a request may be sent to an instance now. Create one with NewGate. Safe for
@@ -19,10 +19,10 @@
 	log *zap.Logger
 	// daemons returns the number of known daemons that send requests, including this one.
 	daemons func() int
-	// uniform returns a random duration in [least, most).
-	uniform func(least, most time.Duration) time.Duration
+	// uniform returns a random duration in [low, high).
+	uniform func(low, high time.Duration) time.Duration
 
-	// version rises with each incarnation that becomes known.
+	// version rises with each incarnation of which something becomes known.
 	version atomic.Uint64
 
 	mu     sync.Mutex
@@ -31,22 +31,24 @@
 	backoffs map[Life]time.Time
 	// leaving holds the incarnations that reported to be leaving, by instance.
 	leaving map[string]leavingIncarnation
-	// grantedAt is the time of the last answered request for permits, whether or not any were granted.
-	grantedAt time.Time
-	olderSent int // number of older updates sent so far
-	changed   chan struct{}
+	// permitsAskedAt is when the last answered request for permits was sent, whether or not any were
+	// granted.
+	permitsAskedAt time.Time
+	olderSent      int // number of older updates sent so far
+	changed        chan struct{}
 }
 
-// NewGate returns a gate without limits.
-func NewGate(daemons func() int, uniform func(least, most time.Duration) time.Duration, log *zap.Logger) *Gate {
+// NewGate returns a gate that knows no limits. uniform returns a random duration in [low, high).
+func NewGate(daemons func() int, uniform func(low, high time.Duration) time.Duration, log *zap.Logger) *Gate {
 	return &Gate{log: log, daemons: daemons, uniform: uniform, limits: map[Life]*limit{}, backoffs: map[Life]time.Time{}, leaving: map[string]leavingIncarnation{}, changed: make(chan struct{}, 1)}
 }
 
-// Version returns a number that rises with each incarnation that becomes known. While it is
-// unchanged, an incarnation that KnowsAny did not know is still unknown.
+// Version returns a number that rises with each incarnation of which something becomes known. While
+// it is unchanged, nothing becomes known of an incarnation for which KnowsAny returned false.
 func (g *Gate) Version() uint64 { return g.version.Load() }
 
-// KnowsAny reports whether anything is known of any of the incarnations.
+// KnowsAny reports whether a limit, the end of one, a backoff or leaving is known of any of the
+// incarnations.
 func (g *Gate) KnowsAny(incarnations iter.Seq[Life]) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,7 +99,8 @@
 	}
 }
 
-// refusesAll reports whether an incarnation is backing off or leaving; g.mu is held.
+// refusesAll reports whether an incarnation is leaving or this daemon is backing off from it; g.mu
+// is held.
 func (g *Gate) refusesAll(inc Life, now time.Time) bool {
 	return now.Before(g.backoffs[inc]) || g.isLeaving(inc)
 }
@@ -135,8 +138,8 @@
 	return false, false
 }
 
-// Closed reports whether a request that was reserved by Take, with a permit or without, must not be
-// written because of signals received since.
+// Closed reports whether a request that was reserved by Take must not be written because of signals
+// received since. permit is what Take returned.
 func (g *Gate) Closed(inc Life, permit bool, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -154,21 +157,22 @@
 	Here bool
 }
 
-// FreeIn returns when requests may first be sent again to any of the incarnations.
-func (g *Gate) FreeIn(incarnations []Life, now time.Time) (first Free) {
+// FreeIn returns when requests may first be sent again to any of the incarnations that are limited
+// or backed off from. It is zero if there is none.
+func (g *Gate) FreeIn(incarnations []Life, now time.Time) (earliest Free) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, inc := range incarnations {
 		if g.isLeaving(inc) {
 			continue
 		}
-		free := Free{max(g.backoffs[inc].Sub(now), 0), true}
+		next := Free{max(g.backoffs[inc].Sub(now), 0), true}
 		if l := g.limits[inc]; l != nil && l.perSecond > 0 {
-			free = Free{max(free.In, time.Duration(float64(time.Second)/l.perSecond)), false}
+			next = Free{max(next.In, time.Duration(float64(time.Second)/l.perSecond)), false}
 		}
-		if free.In > 0 && (first.In == 0 || free.In < first.In) {
-			first = free
+		if next.In > 0 && (earliest.In == 0 || next.In < earliest.In) {
+			earliest = next
 		}
 	}
-	return first
+	return earliest
 }
--- a/internal/backpressure/gate_test.go
+++ b/internal/backpressure/gate_test.go
@@ -18,7 +18,7 @@
 }
 
 func newGate(daemons int) *Gate {
-	return NewGate(func() int { return daemons }, func(least, _ time.Duration) time.Duration { return least }, zap.NewNop())
+	return NewGate(func() int { return daemons }, func(low, _ time.Duration) time.Duration { return low }, zap.NewNop())
 }
 
 var testIncarnation = Life{"i-1", 7}
@@ -59,7 +59,7 @@
 
 // Guards against a daemon that never sends again after it lost its relay for good: it must send, to
 // notice the end of the limit, but less than its even share.
-func TestDaemonWithoutGrantsSendsAtItsOwnPace(t *testing.T) {
+func TestDaemonWithoutGrantsSendsBelowItsShare(t *testing.T) {
 	g := newGate(71)
 	g.Observe(testIncarnation, Signals{Limit: 2}, at(0), at(0))
 	var sent []float64
@@ -79,9 +79,9 @@
 	a, b := newGate(2), newGate(2)
 	a.Observe(testIncarnation, Signals{Limit: 2}, at(0), at(0))
 	for s := 0.25; s < 60; s += 0.25 {
-		late := at(s).Add(100 * time.Millisecond) // network delay
-		b.Merge(a.Updates(at(s)), ReceivedAt{at(s), late})
-		a.Merge(b.Updates(late), ReceivedAt{late, late.Add(100 * time.Millisecond)})
+		receivedAt := at(s).Add(100 * time.Millisecond) // network delay
+		b.Merge(a.Updates(at(s)), ReceivedAt{at(s), receivedAt})
+		a.Merge(b.Updates(receivedAt), ReceivedAt{receivedAt, receivedAt.Add(100 * time.Millisecond)})
 	}
 	for _, g := range []*Gate{a, b} {
 		g.Observe(testIncarnation, Signals{Conclusive: true}, at(1), at(60))
@@ -89,7 +89,7 @@
 	}
 }
 
-// Guards against the end of a limit that does not reach a daemon by way of one without the limit.
+// Guards against the end of a limit that is not forwarded by a daemon that did not know the limit.
 func TestEndOfLimitIsForwarded(t *testing.T) {
 	a, b, c := newGate(3), newGate(3), newGate(3)
 	for _, g := range []*Gate{a, c} {
@@ -151,9 +151,9 @@
 	for i := range 100 {
 		grantors := 0
 		for _, d := range domains {
-			part := Shares{Domain: d, Domains: domains, Count: len(domains)}.share(fmt.Sprint("i-", i))
-			sum += part
-			if part > 0 {
+			share := Shares{Domain: d, Domains: domains, Count: len(domains)}.share(fmt.Sprint("i-", i))
+			sum += share
+			if share > 0 {
 				granting[d]++
 				grantors++
 			}
@@ -180,7 +180,8 @@
 	must.False(t, g.KnowsAny(slices.Values([]Life{testIncarnation})))
 }
 
-// Guards against a daemon that stops sending because of one instance's signals.
+// Guards against backoffs that one instance makes endless, and against a map that grows with every
+// incarnation that asks for one.
 func TestBackoffIsBounded(t *testing.T) {
 	g := newGate(9)
 	g.Observe(testIncarnation, Signals{Rest: 365 * 24 * time.Hour}, at(0), at(0))
@@ -191,7 +192,7 @@
 	must.Eq(t, maxIncarnations, g.Resting(at(0.1)))
 }
 
-// Guards against a retry delay after which no instance accepts the caller.
+// Guards against a retry delay after which no instance accepts a request yet.
 func TestNextSendIsThatOfTheFirstInstance(t *testing.T) {
 	g := newGate(9)
 	a, b, c := Life{"a", 0}, Life{"b", 0}, Life{"c", 0}
@@ -204,7 +205,7 @@
 	must.Eq(t, Free{}, g.FreeIn([]Life{{"d", 0}}, at(0)))
 }
 
-// Guards against requests to a leaving incarnation: after a later answer, after some time, or for a
+// Guards against requests to a leaving incarnation: after a later answer, after a long time, or by a
 // target without start time.
 func TestLeavingIncarnationGetsNoRequests(t *testing.T) {
 	g := newGate(9)
@@ -215,7 +216,7 @@
 	must.True(t, g.Closed(testIncarnation, true, at(1e5)))
 	must.False(t, g.Open(Life{"i-1", 0}, at(1)))
 	must.True(t, g.Open(Life{"i-1", 8}, at(1)), must.Sprint("the next incarnation"))
-	must.Eq(t, Free{}, g.FreeIn([]Life{testIncarnation}, at(1)), must.Sprint("no request waits for it"))
+	must.Eq(t, Free{}, g.FreeIn([]Life{testIncarnation}, at(1)), must.Sprint("a leaving incarnation has no next send"))
 	for i := range maxIncarnations {
 		g.Observe(Life{fmt.Sprint(i), 0}, Signals{Leaving: true}, at(2), at(2))
 	}
--- a/internal/backpressure/grants.go
+++ b/internal/backpressure/grants.go
@@ -13,10 +13,10 @@
 	// grantShare is the share of a limit that is granted: while one daemon of a domain replaces
 	// another, both may grant.
 	grantShare = 0.9
-	// grantBurst is how much unrequested grant capacity is kept, as time; at least one permit.
+	// grantBurst is how long permits accumulate while no daemon asks for them; one permit always may.
 	grantBurst = 500 * time.Millisecond
-	// maxGrantingDomains is the number of domains that grant permits for one instance. Each may add
-	// one request to a window, whatever the limit.
+	// maxGrantingDomains is the largest number of domains that grant permits for one instance. Each
+	// may add one request to a window, whatever the limit.
 	maxGrantingDomains = 5
 	// askerTTL is how long a daemon counts as asking after its last request for permits.
 	askerTTL = time.Second
@@ -27,11 +27,11 @@
 // Shares determines which share of each limit a domain grants.
 type Shares struct {
 	Domain  string
-	Domains []string // known domains; maxGrantingDomains of them are selected per instance
+	Domains []string // known domains; if there are more, maxGrantingDomains of them are selected per instance
 	Count   int      // number of domains of the deployment
 }
 
-// share returns the share of an instance's limit; 0: other domains grant.
+// share returns the share of an instance's limit that this domain grants; 0: other domains grant.
 func (s Shares) share(instance string) float64 {
 	if s.Count <= maxGrantingDomains {
 		return grantShare / float64(max(s.Count, 1))
@@ -60,8 +60,8 @@
 	return h.Sum64()
 }
 
-// Grants grants permits for limited instances to the daemons of one domain. After a change of the
-// granting daemon it starts empty. The zero value is ready to use. Safe for concurrent use.
+// Grants grants permits for limited instances to the daemons of one domain. When another daemon
+// takes over, it starts without permits. The zero value is ready to use. Safe for concurrent use.
 type Grants struct {
 	mu      sync.Mutex
 	grants  map[Life]*grant
@@ -77,13 +77,13 @@
 }
 
 // Grant returns the permits that a daemon receives now for the limited incarnations.
-func (g *Grants) Grant(to string, limited map[Life]float64, shares Shares, now time.Time) []Permits {
+func (g *Grants) Grant(daemon string, limited map[Life]float64, shares Shares, now time.Time) []Permits {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
 	var out []Permits
 	for inc, limit := range limited {
-		if n := g.grant(inc, now).take(to, shares.share(inc.Instance)*limit, now); n > 0 {
+		if n := g.grant(inc, now).take(daemon, shares.share(inc.Instance)*limit, now); n > 0 {
 			out = append(out, Permits{inc.Instance, inc.Born, n})
 		}
 	}
@@ -102,7 +102,8 @@
 	return entry
 }
 
-// sweep removes daemons and incarnations that nobody asks for. They start again without permits.
+// sweep removes daemons that stopped asking, and incarnations that no daemon asks for. Permits for
+// these start again at zero.
 func (g *Grants) sweep(now time.Time) {
 	if now.Sub(g.sweptAt) < askerTTL/2 {
 		return
@@ -121,30 +122,31 @@
 	}
 }
 
-// take returns the daemon's part of the permits that accrue at a rate.
-func (gr *grant) take(to string, perSecond float64, now time.Time) int {
-	most := max(1, perSecond*grantBurst.Seconds())
-	gr.permits = min(gr.permits+perSecond*now.Sub(gr.refilledAt).Seconds(), most)
+// take grants the daemon its part of the permits that accrued at a rate: an even part of what is
+// there, and only on its turn.
+func (gr *grant) take(daemon string, perSecond float64, now time.Time) int {
+	capacity := max(1, perSecond*grantBurst.Seconds())
+	gr.permits = min(gr.permits+perSecond*now.Sub(gr.refilledAt).Seconds(), capacity)
 	gr.refilledAt = now
-	gr.askedAt[to] = now
+	gr.askedAt[daemon] = now
 	n := int(gr.permits)
 	if n == 0 {
 		return 0
 	}
 	n = int(math.Ceil(float64(n) / float64(len(gr.askedAt))))
-	if !gr.hasTurn(to, now) {
+	if !gr.hasTurn(daemon, now) {
 		return 0
 	}
 	gr.permits -= float64(n)
-	gr.grantedAt[to] = now
+	gr.grantedAt[daemon] = now
 	return n
 }
 
-// hasTurn reports whether no other asking daemon has waited for a permit for longer. A daemon that
-// does not ask within turnTimeout loses its turn.
-func (gr *grant) hasTurn(to string, now time.Time) bool {
-	for daemon, asked := range gr.askedAt {
-		if daemon != to && gr.grantedAt[daemon].Before(gr.grantedAt[to]) && now.Sub(asked) < turnTimeout {
+// hasTurn reports whether no other asking daemon received its last permit earlier than this one. A
+// daemon that has not asked within turnTimeout is passed over.
+func (gr *grant) hasTurn(daemon string, now time.Time) bool {
+	for other, asked := range gr.askedAt {
+		if other != daemon && gr.grantedAt[other].Before(gr.grantedAt[daemon]) && now.Sub(asked) < turnTimeout {
 			return false
 		}
 	}
--- a/internal/backpressure/leaving.go
+++ b/internal/backpressure/leaving.go
@@ -12,7 +12,7 @@
 	since     time.Time // time of the first report
 }
 
-// markLeaving records that an incarnation is leaving, until it ends.
+// markLeaving records that an incarnation is leaving. The record applies until the incarnation ends.
 func (g *Gate) markLeaving(inc Life, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -20,7 +20,7 @@
 		return
 	}
 	if _, known := g.leaving[inc.Instance]; !known && len(g.leaving) >= maxIncarnations {
-		delete(g.leaving, oldest(g.leaving, func(d leavingIncarnation) time.Time { return d.since }))
+		delete(g.leaving, oldest(g.leaving, func(l leavingIncarnation) time.Time { return l.since }))
 	}
 	g.leaving[inc.Instance] = leavingIncarnation{inc.Born, now}
 	g.version.Add(1)
@@ -30,16 +30,16 @@
 // isLeaving reports whether an incarnation is leaving; one with unknown start time may be any
 // incarnation of its instance. g.mu is held.
 func (g *Gate) isLeaving(inc Life) bool {
-	d, known := g.leaving[inc.Instance]
-	return known && (d.startedAt == inc.Born || d.startedAt == 0 || inc.Born == 0)
+	leaving, known := g.leaving[inc.Instance]
+	return known && (leaving.startedAt == inc.Born || leaving.startedAt == 0 || inc.Born == 0)
 }
 
 // oldest returns the key whose value has the earliest time.
-func oldest[K comparable, V any](m map[K]V, at func(V) time.Time) (key K) {
-	var first time.Time
-	for k, v := range m {
-		if t := at(v); first.IsZero() || t.Before(first) {
-			key, first = k, t
+func oldest[K comparable, V any](entries map[K]V, at func(V) time.Time) (key K) {
+	var earliest time.Time
+	for k, v := range entries {
+		if t := at(v); earliest.IsZero() || t.Before(earliest) {
+			key, earliest = k, t
 		}
 	}
 	return key
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -6,27 +6,27 @@
 	"go.uber.org/zap"
 )
 
-// Use of permits.
+// Parameters of the use of permits.
 const (
-	// permitTTL is how long a permit may be used: permits with a longer life that are used together
+	// permitTTL is how long a permit may be used. If it were longer, permits that are used together
 	// would exceed the limit.
 	permitTTL = time.Second
-	// grantTimeout is how long after the last answer to a request for permits a daemon starts to send
+	// grantTimeout is how long after its last answered request for permits a daemon starts to send
 	// without permits, at its own pace.
 	grantTimeout = 2 * time.Second
-	// unpermittedSpacing is the least interval between such sends, in multiples of the interval of an
-	// even share of the limit: the number of sending daemons is not known exactly, nor whether others
-	// have permits.
+	// unpermittedSpacing is the least interval between sends without permits, in multiples of the
+	// interval between the requests of an even share of the limit: the number of sending daemons is
+	// not known exactly, nor whether others have permits.
 	unpermittedSpacing = 2
-	// minKnownDaemons is the least number of daemons assumed.
+	// minKnownDaemons replaces a lower number of known daemons in that calculation.
 	minKnownDaemons = 16
 )
 
 // limit is the known limit of one incarnation.
 type limit struct {
 	perSecond float64   // requests a second; 0: it ended
-	asOf      time.Time // see Update.AgeUS
-	changed   time.Time // when this daemon learned of the limit, its change or its end
+	asOf      time.Time // when it was named, or shown to have ended; see Update.AgeUS
+	changedAt time.Time // when this daemon learned of the limit, its change or its end
 	batches   []permitBatch
 	// unpermittedAt is when this daemon may send without a permit while nobody grants any; zero:
 	// not drawn yet.
@@ -39,13 +39,13 @@
 	until time.Time
 }
 
-// setLimit records a limit that an incarnation named at a time, unless what is known is later, or
-// is the same limit and less than newerBy older.
-func (g *Gate) setLimit(inc Life, perSecond float64, at time.Time, newerBy time.Duration, now time.Time, source string) {
+// setLimit records a limit that an incarnation named at a time. It does nothing if a later limit or
+// end is known, or if the same limit is known and is less than newerBy older.
+func (g *Gate) setLimit(inc Life, perSecond float64, namedAt time.Time, newerBy time.Duration, now time.Time, source string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.limits[inc]
-	if l != nil && (at.Before(l.asOf) || l.perSecond == perSecond && at.Sub(l.asOf) < newerBy) {
+	if l != nil && (namedAt.Before(l.asOf) || l.perSecond == perSecond && namedAt.Sub(l.asOf) < newerBy) {
 		return
 	}
 	if l == nil {
@@ -54,9 +54,9 @@
 		g.limits[inc] = l
 		g.version.Add(1)
 	}
-	l.asOf = at
+	l.asOf = namedAt
 	if l.perSecond != perSecond {
-		l.perSecond, l.batches, l.unpermittedAt, l.changed = perSecond, nil, time.Time{}, now
+		l.perSecond, l.batches, l.unpermittedAt, l.changedAt = perSecond, nil, time.Time{}, now
 		g.notifyChange("instance limits requests", inc, zap.Float64("per_second", perSecond), zap.String("source", source))
 	}
 }
@@ -79,12 +79,12 @@
 	if l.perSecond > 0 {
 		g.notifyChange("instance request limit ended", inc, zap.String("source", source))
 	}
-	*l = limit{asOf: sent, changed: now}
+	*l = limit{asOf: sent, changedAt: now}
 }
 
 // notifyChange logs and signals a change; g.mu is held.
-func (g *Gate) notifyChange(what string, inc Life, fields ...zap.Field) {
-	g.log.Info(what, append([]zap.Field{zap.String("instance", inc.Instance)}, fields...)...)
+func (g *Gate) notifyChange(message string, inc Life, fields ...zap.Field) {
+	g.log.Info(message, append([]zap.Field{zap.String("instance", inc.Instance)}, fields...)...)
 	select {
 	case g.changed <- struct{}{}:
 	default: // already signalled
@@ -112,14 +112,14 @@
 }
 
 // Granted stores the permits of the answer to a request for permits that was sent at a time.
-func (g *Gate) Granted(granted []Permits, asked time.Time) {
+func (g *Gate) Granted(permits []Permits, askedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.grantedAt = asked
-	for _, p := range granted {
+	g.permitsAskedAt = askedAt
+	for _, p := range permits {
 		l := g.limits[Life{p.Instance, p.Born}]
 		if l != nil && l.perSecond > 0 && p.Count > 0 {
-			l.batches = append(l.batches, permitBatch{p.Count, asked.Add(permitTTL)})
+			l.batches = append(l.batches, permitBatch{p.Count, askedAt.Add(permitTTL)})
 		}
 	}
 }
@@ -136,10 +136,10 @@
 }
 
 // maySendWithoutPermit reports whether this daemon may send to a limited incarnation because nobody
-// grants permits; g.mu is held. The time is drawn at random on the first call, so that daemons that
-// lose their grantors together don't send together.
+// grants permits; g.mu is held. The time of the send is drawn at random on the first call, so that
+// daemons that lose their granting daemons together don't send together.
 func (g *Gate) maySendWithoutPermit(l *limit, now time.Time) bool {
-	if now.Sub(g.grantedAt) < grantTimeout {
+	if now.Sub(g.permitsAskedAt) < grantTimeout {
 		l.unpermittedAt = time.Time{}
 		return false
 	}
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -11,7 +11,8 @@
 
 // Bounds of a limit, in requests a second.
 const (
-	// LeastLimit replaces lower limits: without any request nobody would notice the end of the limit.
+	// LeastLimit replaces lower limits: without any request no daemon would notice the end of the
+	// limit.
 	LeastLimit = 0.05
 	// MaxLimit replaces higher limits.
 	MaxLimit = 1e5
@@ -22,12 +23,12 @@
 	// Limit is the number of requests a second that the instance accepts from all daemons together;
 	// 0: the answer has no limit.
 	Limit float64
-	// Conclusive: the instance itself made the answer, so a limit that it does not name has ended.
-	// A refusal does not show the end of a limit.
+	// Conclusive reports that the instance itself made the answer and it is not a refusal, so a limit
+	// that it does not name has ended.
 	Conclusive bool
-	// Rest is how long this daemon must send no request to the instance; 0: not asked for.
+	// Rest is how long the instance asks this daemon to send it no request; 0: it does not ask.
 	Rest time.Duration
-	// Leaving: the instance stops soon and accepts no new requests.
+	// Leaving reports that the instance stops soon and accepts no new requests.
 	Leaving bool
 }
 
--- a/internal/backpressure/updates.go
+++ b/internal/backpressure/updates.go
@@ -30,15 +30,16 @@
 const endTTL = 30 * time.Second
 
 // minNewer is how much newer an update of the same limit must be to be merged. Each forwarding
-// loses a little of its age, so it seems newer than it is.
+// underestimates its age a little, so an update seems newer than it is.
 const minNewer = 500 * time.Millisecond
 
 // Contents of one message.
 const (
 	// changeTTL is how long a change is part of every message.
 	changeTTL = 2 * time.Second
-	// olderUpdates is the number of other updates in a message, in turns. A daemon that missed a
-	// change or has just started receives it later, and messages don't grow with the number of limits.
+	// olderUpdates is the number of other updates in a message; all limits take turns. A daemon
+	// that missed a change or has just started receives it later, and messages don't grow with the
+	// number of limits.
 	olderUpdates = 2
 )
 
@@ -54,7 +55,7 @@
 	for inc, l := range g.limits {
 		switch {
 		case l.perSecond == 0 && now.Sub(l.asOf) >= endTTL:
-		case now.Sub(l.changed) < changeTTL:
+		case now.Sub(l.changedAt) < changeTTL:
 			out = append(out, l.update(inc, now))
 		default:
 			old = append(old, inc)
@@ -77,8 +78,8 @@
 	return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Born, b.Born))
 }
 
-// Merge merges the updates of another daemon. A limit is dated as late as possible, the end of a
-// limit as early as possible.
+// Merge merges the updates of another daemon. Within the bounds of received, a limit is dated as late
+// as possible and the end of a limit as early as possible.
 func (g *Gate) Merge(updates []Update, received ReceivedAt) {
 	for _, u := range updates {
 		inc, age := Life{u.Instance, u.Born}, time.Duration(u.AgeUS)*time.Microsecond
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -4,8 +4,8 @@
 
 // queueShare is the share of the time between the fastest first event and the objective that
 // queueing may consume when a stream is admitted. Past it, the stream and those queued behind it
-// would be late; refused at once, it may still be in time at another daemon or on a retry. A smaller share
-// refuses work that would have been in time.
+// would be late; refused at once, it may still be in time at another daemon or on a retry. A
+// smaller share refuses work that would have been in time.
 const queueShare = 0.3
 
 // Admission is the decision whether a new stream is sent at all, with its inputs.
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -10,9 +10,9 @@
 const (
 	// loadTTL is how long received loads are used; they arrive four times a second.
 	loadTTL = 3 * time.Second
-	// knownLoadZonePenalty is the penalty of another zone, in requests in flight, when loads are known. It
-	// exceeds the error of the received loads, so that requests stay in their zone while its
-	// replicas are about as busy as others.
+	// knownLoadZonePenalty is the penalty of another zone, in requests in flight, when loads are
+	// known. It exceeds the error of the received loads, so that requests stay in their zone while
+	// its replicas are about as busy as others.
 	knownLoadZonePenalty = 1.5
 )
 
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -98,8 +98,8 @@
 // rejected 5 to 15 of 100 arrivals, and the busiest ran 9.4 times the mean with capacity free
 // elsewhere.
 //
-// 900 streams a second that last a second each, reports 0.4 s old, 95 replicas of 14 slots; and the same with half of one
-// zone's replicas down.
+// 900 streams a second that last a second each, reports 0.4 s old, 95 replicas of 14 slots; and the
+// same with half of one zone's replicas down.
 func TestReportedLoadsSpreadStreamsOfManyDaemons(t *testing.T) {
 	load := pickerLoad{daemons: 295, replicas: 95, zones: 5, perSecond: 900, streamTime: time.Second, slots: 14}
 	for name, down := range map[string]int{"all up": 0, "half of a zone is down": 9} {
@@ -117,7 +117,8 @@
 
 // Seven daemons, each of which makes a seventh of the requests of their twelve replicas: their own
 // requests are a good estimate. Random candidates compared by reported loads did worse: 20 of 720
-// streams met a full replica, and the mean score of a request fell by 0.010 +/- 0.004 (8 paired days of load).
+// streams met a full replica, and the mean score of a request fell by 0.010 +/- 0.004 (8 paired
+// days of load).
 func TestReportedLoadsDoNotChangeChoicesOfFewDaemons(t *testing.T) {
 	load := pickerLoad{daemons: 7, replicas: 12, zones: 3, perSecond: 120, streamTime: time.Second, slots: 14, reportAge: 400 * time.Millisecond}
 	full, _, _ := load.simulate()
--- a/internal/dispatch/credit.go
+++ b/internal/dispatch/credit.go
@@ -16,9 +16,9 @@
 	creditReserve = 1
 )
 
-// credit is the number of retries that requests have accrued and retries have not spent. It starts at zero: a
-// process can't know what its predecessor spent, and with an initial credit each restart would
-// renew the shared limit. Not safe for concurrent use; time is passed in.
+// credit is the number of retries that requests have accrued and retries have not spent. It starts
+// at zero: a process can't know what its predecessor spent, and with an initial credit each restart
+// would renew the shared limit. Not safe for concurrent use; time is passed in.
 type credit struct {
 	decay    time.Duration // time constant of the decay beyond reserve
 	reserve  float64       // does not decay
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Limits on the silence of a stream, after which it is moved to another replica if the route allows that.
+// Limits on the silence of a stream, after which it is moved to another replica if the route allows
+// that.
 const (
 	// firstEventFactor is how many times the objective a first event may take at a replica about
 	// which nothing else is known. Where other streams make progress the request is only queued,
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -95,9 +95,10 @@
 	sharedLoad: sharedLoad{daemons: 295, interval: 295 * time.Second / 937, duration: 40 * time.Second, extra: 672}}
 
 // Guards against unserved requests at daemons whose budget is used up: each of 295 daemons accrues
-// credit by itself, starts with none and accrues little. In the logs of 22 daemons of a normal day, 15
-// of 21 unserved requests failed for this reason after one send of a few ms ("retry_budget_spent"), though an
-// engine had reported that it did not run them. All daemons together made a ninth of the allowed retries.
+// credit by itself, starts with none and accrues little. In the logs of 22 daemons of a normal day,
+// 15 of 21 unserved requests failed for this reason after one send of a few ms
+// ("retry_budget_spent"), though an engine had reported that it did not run them. All daemons
+// together made a ninth of the allowed retries.
 //
 // The first send of one request in twenty fails, from the third second on.
 func TestPoolAllowsResendOfRequestsThatDidNotRun(t *testing.T) {
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -46,8 +46,8 @@
 
 // expectedWait returns a lower bound of the wait for the next first event: the longest wait of
 // waiting streams, or the last measured wait less the time since then, whichever is more. The time
-// since is subtracted because a queue drains while nothing is sent; otherwise a target would be avoided long
-// after its queue was gone.
+// since is subtracted because a queue drains while nothing is sent; otherwise a target would be
+// avoided long after its queue was gone.
 func (r *record) expectedWait(now time.Time) time.Duration {
 	d := r.oldestWait(now)
 	if now.Sub(r.lastFirstEventAt) < firstEventTTL {
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -63,9 +63,10 @@
 	return worst
 }
 
-// Guards against retry budgets that are renewed by restarts. Half of the answers of all engines failed, and all
-// daemons were killed and restarted meanwhile. New processes started with a budget beside what their
-// predecessors had retried in the same ten seconds, and together exceeded the limit:
+// Guards against retry budgets that are renewed by restarts. Half of the answers of all engines
+// failed, and all daemons were killed and restarted meanwhile. New processes started with a budget
+// beside what their predecessors had retried in the same ten seconds, and together exceeded the
+// limit:
 //
 //	killed once:   1652 retries in 10 s for 6915 requests, 1648 allowed
 //	three times:   1856 retries in 10 s for 6888 requests, 1643 allowed
--- a/internal/dispatch/stalltimeout_test.go
+++ b/internal/dispatch/stalltimeout_test.go
@@ -22,8 +22,8 @@
 	return StreamLimits{Model: "m", Objective: scaled(300*time.Millisecond, scale), Gap: scaled(300*time.Millisecond, scale), Longest: scaled(434*time.Millisecond, scale)}
 }
 
-// drawPause draws a pause of a replica that reads a prompt in about each third pass. That takes reading
-// on average and four times that at most.
+// drawPause draws a pause of a replica that reads a prompt in about each third pass. That takes
+// reading on average and four times that at most.
 func drawPause(rng *rand.Rand, reading time.Duration) time.Duration {
 	pass := 45 * time.Millisecond
 	if rng.IntN(3) == 0 {
