--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,7 +1,7 @@
-// Package admission decides at once whether a request is accepted: by the limits of its
-// workspace, which daemons share, and by the load of the replicas that could serve it, per
-// class. A request that can't be served in time is refused with a realistic retry delay;
-// nothing is queued here.
+// Package admission decides at once whether a request is accepted, by the limits of its workspace,
+// which all daemons share, and by its class and the load of the replicas that could serve it. A
+// request that can't be served in time is refused with a realistic retry delay; nothing is queued
+// here.
 package admission
 
 import (
@@ -17,15 +17,15 @@
 
 // Limits are the limits of one workspace as this daemon applies them.
 type Limits struct {
-	MaxConcurrent int     // over all daemons
-	RatePerSecond float64 // over all daemons; 0: no limit
+	MaxConcurrent int     // requests in flight, over all daemons
+	RatePerSecond float64 // requests, over all daemons; 0: no limit
 	Daemons       int     // live daemons, including this one
 	OthersInUse   int     // requests in flight at the other daemons, as last received
 }
 
-// share returns how many requests this daemon may have in flight: its even share or what the
-// other daemons leave, whichever is more. The sum over all daemons may exceed the limit by the
-// requests that arrived within one sync interval.
+// share returns how many requests this daemon may have in flight: its even share or what the other
+// daemons leave of the limit, whichever is more. The sum over all daemons may exceed the limit by
+// the requests that arrived within one sync interval.
 func (l Limits) share() int {
 	even := (l.MaxConcurrent + l.Daemons - 1) / max(l.Daemons, 1)
 	return max(even, l.MaxConcurrent-l.OthersInUse)
@@ -58,10 +58,10 @@
 	return s
 }
 
-// Enter admits one request of the workspace. ok is false if a limit is reached; retry is then
-// the retry delay. If ok, release must be called once the request has ended; further calls of
-// it have no effect.
-func (g *Gate) Enter(workspace string, l Limits, now time.Time) (release func(), retry time.Duration, ok bool) {
+// Enter admits one request of the workspace. ok is false if a limit is reached; retryAfter is
+// then the retry delay. If ok, release must be called when the request has ended; further calls
+// have no effect.
+func (g *Gate) Enter(workspace string, l Limits, now time.Time) (release func(), retryAfter time.Duration, ok bool) {
 	s := g.state(workspace)
 	if wait := s.takeToken(l, now); wait > 0 {
 		return nil, wait, false
@@ -120,15 +120,15 @@
 
 // MaxLoad returns the load per slot from which a class is refused.
 func MaxLoad(class catalog.Class) float64 {
-	if c, ok := maxLoads[class]; ok {
-		return c
+	if maxLoad, ok := maxLoads[class]; ok {
+		return maxLoad
 	}
 	return maxLoads[catalog.ClassNormal]
 }
 
 // Shed reports whether a request of a class is refused at the load per slot of the least loaded
-// replica; retry is the time in which the excess load is served.
-func Shed(class catalog.Class, load float64, service time.Duration) (retry time.Duration, refuse bool) {
+// replica; retryAfter is the time in which the excess load is served, if requests take service each.
+func Shed(class catalog.Class, load float64, service time.Duration) (retryAfter time.Duration, refuse bool) {
 	maxLoad := MaxLoad(class)
 	if load < maxLoad {
 		return 0, false
@@ -137,7 +137,8 @@
 	return time.Duration(math.Max(1, excess) * float64(service)), true
 }
 
-// Priority returns the engine priority of a class, higher first.
+// Priority returns the priority that an engine gives requests of a class; the highest is served
+// first.
 func Priority(class catalog.Class) int {
 	for i, c := range catalog.Classes {
 		if c == class {
@@ -153,16 +154,16 @@
 
 // Note adds the duration of a finished request.
 func (s *ServiceTime) Note(d time.Duration) {
-	const weight = 16
+	const inverseWeight = 16 // a new duration has the weight 1/16
 	old := s.nanos.Load()
 	if old == 0 {
 		s.nanos.Store(int64(d))
 		return
 	}
-	s.nanos.Store(old + (int64(d)-old)/weight)
+	s.nanos.Store(old + (int64(d)-old)/inverseWeight)
 }
 
-// Mean returns the average, one second if there is none.
+// Mean returns the average, one second if no request has finished.
 func (s *ServiceTime) Mean() time.Duration {
 	if n := s.nanos.Load(); n > 0 {
 		return time.Duration(n)
@@ -170,8 +171,8 @@
 	return time.Second
 }
 
-// RetryBudget limits retries to a ratio of first attempts, so that a failing domain does not
-// cause a retry storm. Safe for concurrent use.
+// RetryBudget limits retries to a ratio of first attempts, so that a failing failure domain does
+// not cause a retry storm. Safe for concurrent use.
 type RetryBudget struct {
 	ratio  float64
 	mu     sync.Mutex
@@ -193,7 +194,7 @@
 	b.tokens = math.Min(budgetBurst, b.tokens+b.ratio)
 }
 
-// Retry takes one retry from the budget; false: there is none.
+// Retry takes one retry from the budget. It returns false if the budget has none.
 func (b *RetryBudget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -18,7 +18,7 @@
 	must.Eq(t, 90, alone.share())
 }
 
-// Requests in flight never exceed the share of this daemon, and ended ones no longer count.
+// Requests in flight never exceed the share of this daemon; an ended request no longer counts.
 func TestGateNeverExceedsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGate()
@@ -32,10 +32,10 @@
 				releases = releases[1:]
 				continue
 			}
-			release, retry, ok := g.Enter("w", l, time.Unix(1, 0))
+			release, retryAfter, ok := g.Enter("w", l, time.Unix(1, 0))
 			must.Eq(t, len(releases) < l.share(), ok)
 			if !ok {
-				must.Positive(t, retry)
+				must.Positive(t, retryAfter)
 				continue
 			}
 			releases = append(releases, release)
@@ -51,10 +51,10 @@
 		_, _, ok := g.Enter("w", l, now)
 		must.True(t, ok)
 	}
-	_, retry, ok := g.Enter("w", l, now)
+	_, retryAfter, ok := g.Enter("w", l, now)
 	must.False(t, ok)
-	must.Eq(t, 500*time.Millisecond, retry)
-	_, _, ok = g.Enter("w", l, now.Add(retry))
+	must.Eq(t, 500*time.Millisecond, retryAfter)
+	_, _, ok = g.Enter("w", l, now.Add(retryAfter))
 	must.True(t, ok)
 }
 
@@ -62,14 +62,14 @@
 	for load := 0.0; load < 6; load += 0.1 {
 		_, patient := Shed(catalog.ClassPatient, load, time.Second)
 		_, normal := Shed(catalog.ClassNormal, load, time.Second)
-		retry, urgent := Shed(catalog.ClassUrgent, load, time.Second)
+		retryAfter, urgent := Shed(catalog.ClassUrgent, load, time.Second)
 		must.True(t, (!urgent || normal) && (!normal || patient))
-		must.Eq(t, urgent, retry > 0)
+		must.Eq(t, urgent, retryAfter > 0)
 	}
 	must.Greater(t, Priority(catalog.ClassPatient), Priority(catalog.ClassUrgent))
 }
 
-// With every first attempt failing, attempts stay within 1.1 times the requests plus the initial
+// If every attempt fails, attempts stay within 1.1 times the requests plus the initial
 // burst.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	b := NewRetryBudget(0.1)
