--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,7 +1,6 @@
-// Package connlimit sets deadlines on server connections: for the start of a request, for the
-// whole request and for each write. The timeouts of the HTTP library do not apply on its standard
-// transport (a connection that had sent half a request stayed open for good), so the connections
-// enforce them.
+// Package connlimit enforces time limits on server connections: until a request starts, for the
+// whole request and for each write. The HTTP library's own timeouts have no effect on its standard
+// transport: a connection that had sent half a request stayed open for good.
 package connlimit
 
 import (
@@ -33,33 +32,33 @@
 	return &conn{Conn: c, limits: l.limits}, nil
 }
 
-// conn sets the deadlines of reads and writes. Reads belong to one request until something is
-// written. Reads and writes must come from one goroutine, as in an HTTP/1 server.
+// conn sets the deadlines of reads and writes. All reads until the next write count as one request.
+// Reads and writes must come from one goroutine, as in an HTTP/1 server.
 type conn struct {
 	net.Conn
-	limits       Limits
-	requestStart time.Time // first byte of the current request; zero: not received yet
+	limits           Limits
+	requestStartedAt time.Time // when the first byte of the current request was received; zero: not yet
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	deadline := c.requestStart.Add(c.limits.Read)
-	if c.requestStart.IsZero() {
+	deadline := c.requestStartedAt.Add(c.limits.Read)
+	if c.requestStartedAt.IsZero() {
 		deadline = time.Now().Add(c.limits.Idle)
 	}
 	if err := c.Conn.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.requestStart.IsZero() {
-		c.requestStart = time.Now()
+	if n > 0 && c.requestStartedAt.IsZero() {
+		c.requestStartedAt = time.Now()
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
-	c.requestStart = time.Time{}
+	c.requestStartedAt = time.Time{}
 	if err := c.Conn.SetWriteDeadline(time.Now().Add(c.limits.Write)); err != nil {
 		return 0, err
 	}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// pair returns a limited connection and its peer.
-func pair(t *testing.T, l Limits) (net.Conn, net.Conn) {
+// newConnPair returns a connection with limits and its peer.
+func newConnPair(t *testing.T, l Limits) (net.Conn, net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -26,16 +26,16 @@
 	return c, peer
 }
 
-const long = time.Hour
+const longTimeout = time.Hour
 
 func TestIdlePeerTimesOut(t *testing.T) {
-	c, _ := pair(t, Limits{Idle: time.Millisecond, Read: long, Write: long})
+	c, _ := newConnPair(t, Limits{Idle: time.Millisecond, Read: longTimeout, Write: longTimeout})
 	_, err := c.Read(make([]byte, 1))
 	must.True(t, errors.Is(err, os.ErrDeadlineExceeded))
 }
 
 func TestIncompleteRequestTimesOut(t *testing.T) {
-	c, peer := pair(t, Limits{Idle: long, Read: time.Millisecond, Write: long})
+	c, peer := newConnPair(t, Limits{Idle: longTimeout, Read: time.Millisecond, Write: longTimeout})
 	_, err := peer.Write([]byte("POST"))
 	must.NoError(t, err)
 	buf := make([]byte, 4)
@@ -46,7 +46,7 @@
 }
 
 func TestWriteStartsANewRequest(t *testing.T) {
-	c, peer := pair(t, Limits{Idle: long, Read: time.Nanosecond, Write: long})
+	c, peer := newConnPair(t, Limits{Idle: longTimeout, Read: time.Nanosecond, Write: longTimeout})
 	buf := make([]byte, 1)
 	for range 3 { // the idle limit applies again to each first byte
 		_, err := peer.Write([]byte("x"))
@@ -59,7 +59,7 @@
 }
 
 func TestBlockedWriteTimesOut(t *testing.T) {
-	c, _ := pair(t, Limits{Idle: long, Read: long, Write: time.Millisecond})
+	c, _ := newConnPair(t, Limits{Idle: longTimeout, Read: longTimeout, Write: time.Millisecond})
 	data := make([]byte, 1<<20)
 	var err error
 	for err == nil { // until the buffers of both sides are full
