--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,6 @@
-// Package router chooses the replica that serves a request. It first filters by permission, then
-// weighs by load. Apart from counters, results depend only on a snapshot, a request and passed in
-// randomness.
+// Package router chooses the replica that serves a request. It first filters the replicas that may
+// serve it, then chooses by policy and load. Apart from counters, results depend only on the
+// snapshot, the request, the time and the randomness that are passed in.
 package router
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is one serving epoch of a group in a snapshot. Only its counter Sent changes.
+// Target is one serving epoch of a group in a snapshot. It is immutable but for the counter Sent.
 type Target struct {
 	Group   string
 	Pool    string
 	Epoch   uint64
 	Place   string
-	Domain  string
+	Domain  string    // failure domain
 	Address string    // of rank 0
-	Ready   time.Time // last time at which all members were known to be ready
-	Running int       // as reported, with delay
-	Queued  int
-	Slots   int
+	Ready   time.Time // latest time at which all members are known to have been ready
+	Running int       // requests, as reported with some delay
+	Queued  int       // likewise
+	Slots   int       // requests that run at once
 	// Sent counts the requests that this daemon sent since the report.
 	Sent *atomic.Int64
-	// Since is when this daemon first saw the epoch serve, for slow start.
+	// Since is when this daemon first saw the epoch serve: the start of its slow start.
 	Since time.Time
 }
 
@@ -46,26 +46,26 @@
 // Policy names a routing policy.
 type Policy string
 
-// Policies. All but PolicyAffinity serve as baselines.
+// Policies. All but PolicyAffinity are baselines for comparison.
 const (
-	PolicyAffinity   Policy = "affinity"
-	PolicyRandom     Policy = "random"
-	PolicyRoundRobin Policy = "round-robin"
-	PolicyLeast      Policy = "least"
+	PolicyAffinity    Policy = "affinity"
+	PolicyRandom      Policy = "random"
+	PolicyRoundRobin  Policy = "round-robin"
+	PolicyLeastLoaded Policy = "least"
 )
 
 // Router chooses among targets. Safe for concurrent use.
 type Router struct {
 	Policy Policy
-	Subset int           // replicas considered for one prefix
-	MaxAge time.Duration // of the last readiness report
-	// SlowStart is how long a new epoch receives a growing share of its requests.
-	SlowStart time.Duration
-	next      atomic.Uint64
+	Subset int           // number of replicas considered for one prefix
+	MaxAge time.Duration // maximum age of a readiness report
+	// SlowStart is how long a new epoch receives only a growing share of requests.
+	SlowStart      time.Duration
+	nextRoundRobin atomic.Uint64
 }
 
-// Permitted returns the targets that a request may be sent to at now, in order: in a permitted
-// place, with a fresh readiness report and not tried before.
+// Permitted returns the targets that a request may be sent to at now: those in a permitted place,
+// with a fresh readiness report and not tried before. The order is kept.
 func (r *Router) Permitted(targets []*Target, req Request, now time.Time) []*Target {
 	var out []*Target
 	for _, t := range targets {
@@ -91,19 +91,20 @@
 	case PolicyRandom:
 		return permitted[uniform(len(permitted))]
 	case PolicyRoundRobin:
-		return permitted[int(r.next.Add(1)%uint64(len(permitted)))]
-	case PolicyLeast:
-		return slices.MinFunc(permitted, byLoad)
+		return permitted[int(r.nextRoundRobin.Add(1)%uint64(len(permitted)))]
+	case PolicyLeastLoaded:
+		return slices.MinFunc(permitted, compareLoad)
 	}
 	return r.chooseByAffinity(permitted, req.Prefix, now, uniform)
 }
 
-// affinityMargin is how much more load per slot the preferred replica of a prefix may have than
-// another one that would otherwise be chosen.
+// affinityMargin is how much more load per slot the preferred replica of a prefix may have than the
+// other candidate before that one is chosen.
 const affinityMargin = 0.25
 
-// chooseByAffinity returns the first replica of the prefix by rendezvous hashing, unless its load
-// exceeds that of a random other replica of the subset by more than affinityMargin; then that one.
+// chooseByAffinity compares the first replica of the prefix by rendezvous hashing with a random other
+// one of the prefix's subset. It returns the first, unless its load is higher by more than
+// affinityMargin.
 func (r *Router) chooseByAffinity(permitted []*Target, prefix uint64, now time.Time, uniform func(int) int) *Target {
 	subset := rank(permitted, prefix)[:min(r.Subset, len(permitted))]
 	preferred := subset[0]
@@ -117,7 +118,8 @@
 	return preferred
 }
 
-// loadWithSlowStart returns the load, increased during slow start.
+// loadWithSlowStart returns the load per slot. During slow start it is higher, by one at the start
+// and by less later.
 func (r *Router) loadWithSlowStart(t *Target, now time.Time) float64 {
 	load := t.Load()
 	if age := now.Sub(t.Since); r.SlowStart > 0 && age < r.SlowStart {
@@ -130,12 +132,12 @@
 func rank(targets []*Target, prefix uint64) []*Target {
 	out := slices.Clone(targets)
 	slices.SortFunc(out, func(a, b *Target) int {
-		return cmp.Or(cmp.Compare(score(b.Group, prefix), score(a.Group, prefix)), cmp.Compare(a.Group, b.Group))
+		return cmp.Or(cmp.Compare(rendezvousScore(b.Group, prefix), rendezvousScore(a.Group, prefix)), cmp.Compare(a.Group, b.Group))
 	})
 	return out
 }
 
-func score(group string, prefix uint64) uint64 {
+func rendezvousScore(group string, prefix uint64) uint64 {
 	const goldenRatio = 0x9e3779b97f4a7c15
 	h := xxhash.Sum64String(group) ^ (prefix * goldenRatio)
 	h ^= h >> 33
@@ -143,7 +145,7 @@
 	return h ^ h>>33
 }
 
-func byLoad(a, b *Target) int { return cmp.Compare(a.Load(), b.Load()) }
+func compareLoad(a, b *Target) int { return cmp.Compare(a.Load(), b.Load()) }
 
 // Uniform returns a random number in [0, n) from the default source.
 func Uniform(n int) int { return rand.IntN(n) }
@@ -152,7 +154,7 @@
 const prefixBytes = 256
 
 // PrefixHash hashes the start of a prompt together with the workspace, so that equal prompts of two
-// workspaces are not tied to the same replica.
+// workspaces need not go to the same replica.
 func PrefixHash(workspace string, prompt []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(workspace)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -33,7 +33,7 @@
 func TestOnlyPermittedPlaces(t *testing.T) {
 	now := time.Unix(6000, 0)
 	rapid.Check(t, func(t *rapid.T) {
-		r := &Router{Policy: rapid.SampledFrom([]Policy{PolicyAffinity, PolicyRandom, PolicyRoundRobin, PolicyLeast}).Draw(t, "policy"),
+		r := &Router{Policy: rapid.SampledFrom([]Policy{PolicyAffinity, PolicyRandom, PolicyRoundRobin, PolicyLeastLoaded}).Draw(t, "policy"),
 			Subset: rapid.IntRange(1, 6).Draw(t, "subset"), MaxAge: 1500 * time.Millisecond, SlowStart: 5 * time.Second}
 		targets := drawTargets(t, now)
 		req := Request{Places: rapid.SliceOfDistinct(rapid.SampledFrom(places), rapid.ID).Draw(t, "places"),
