--- a/internal/backpressure/grants.go
+++ b/internal/backpressure/grants.go
@@ -13,7 +13,8 @@
 	// grantShare is the share of a limit that is granted: while one daemon of a domain replaces
 	// another, both may grant.
 	grantShare = 0.9
-	// grantBurst is how long permits accumulate while no daemon asks for them; one permit always may.
+	// grantBurst is how long permits accumulate while no daemon asks for them. Where that is less than
+	// one permit, one permit accumulates.
 	grantBurst = 500 * time.Millisecond
 	// maxGrantingDomains is the largest number of domains that grant permits for one instance. Each
 	// may add one request to a window, whatever the limit.
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -24,9 +24,10 @@
 // Repeated reports whether another send would be a retry.
 func (a *Attempts) Repeated() bool { return a.reached > 0 }
 
-// Spent reports whether no further send may be made; limit is the route's number of instances.
+// Spent reports whether no further send may be made; limit is the number of instances that the
+// route allows.
 func (a *Attempts) Spent(limit int) bool { return a.reached >= limit || a.sends >= maxSends }
 
-// Last reports whether the current send is the last that the route allows; limit is the route's
-// number of instances.
+// Last reports whether the current send is the last that the route allows; limit is the number of
+// instances that the route allows.
 func (a *Attempts) Last(limit int) bool { return a.reached+1 >= limit }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -81,12 +81,11 @@
 	own    float64
 }
 
-// candidates returns the targets to choose among: all that were not tried or, when loads of
-// other daemons are known, two of the healthy ones: the least loaded by this daemon's own requests
-// and a random one. Received loads are nearly as old as a stream lasts; if each daemon sent
-// to the least loaded of many by these reports, hundreds would send to the same target until the
-// next report. The
-// result is valid until the next call. p.mu is held.
+// candidates returns the targets to choose among: all that were not tried or, when loads of other
+// daemons are known, two of the healthy ones: the least loaded by this daemon's own requests and a
+// random one. Received loads are nearly as old as a stream lasts; if each daemon sent to the least
+// loaded of many by these reports, hundreds would send to the same target until the next report.
+// The result is valid until the next call. p.mu is held.
 func (p *Picker) candidates(targets []Target, tried map[string]bool, now time.Time) []scoredTarget {
 	all, healthy := p.all[:0], p.healthy[:0]
 	known := p.loadsKnown(now)
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -156,7 +156,7 @@
 
 // Requests in flight at other daemons count like own requests.
 func TestReportedRequestsCountTowardsLoad(t *testing.T) {
-	p := NewPicker("z", func(n int) int { return n - 1 }) // draws the last target at random, keeps the first of ties
+	p := NewPicker("z", func(n int) int { return n - 1 }) // the random candidate is the last target; of ties the first is kept
 	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"here": 3}}, t0)
 	must.Eq(t, "there", pickOne(p, t0, here, there))
 	must.Eq(t, map[string]int{}, p.InFlight())
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -64,8 +64,7 @@
 )
 
 // Picker chooses targets by this daemon's requests in flight, its observations of them and the
-// reports of other daemons. Safe
-// for concurrent use.
+// reports of other daemons. Safe for concurrent use.
 type Picker struct {
 	zone     string
 	uniform  func(n int) int
@@ -227,8 +226,8 @@
 	p.floors[model] = floor + time.Duration(floorRise*float64(wait-floor))
 }
 
-// Floor returns the fastest recent first event of a model, which is the time
-// that one takes without queueing; 0: unknown.
+// Floor returns the fastest recent first event of a model, which is the time that one takes without
+// queueing; 0: unknown.
 func (p *Picker) Floor(model string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -35,10 +35,9 @@
 }
 
 // Pool holds surplus credit for retries, by service, for daemons that have used up their own: a
-// daemon with few requests has no credit when it needs it, while all daemons together use a part
-// of theirs. A daemon that takes over as the relay starts with an empty
-// pool. Safe for concurrent use; time is passed
-// in.
+// daemon with few requests has no credit when it needs it, while all daemons together use a part of
+// theirs. A daemon that takes over as the relay starts with an empty pool. Safe for concurrent use;
+// time is passed in.
 type Pool struct {
 	mu       sync.Mutex
 	services map[string]*pooledCredit
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -58,8 +58,7 @@
 }
 
 // Elapsed returns the least time that a caller has already waited if its time limit leaves
-// remaining; 0: it sent no time limit, has
-// not waited, or nothing is known.
+// remaining; 0: it sent no time limit, has not waited, or nothing is known.
 func (w *CallerWaits) Elapsed(route string, remaining time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
