--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -12,7 +12,7 @@
 
 var testRule = BudgetRule{Ratio: 0.2, Window: 10 * time.Second}
 
-// A process that begins has earned nothing: the one before it may have spent all.
+// A new process has no credit: its predecessor may have spent all of it.
 func TestBudgetStartsEmpty(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
@@ -26,21 +26,21 @@
 	must.False(t, b.Repeat(testRule, now))
 }
 
-func TestRepeatThatWasNotMadeIsGivenBack(t *testing.T) {
+func TestUnusedRetryIsRefunded(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
 	for range 6 {
 		b.Request(testRule, now)
 	}
-	left := b.Left(testRule, now)
+	before := b.Left(testRule, now)
 	must.True(t, b.Repeat(testRule, now))
 	b.Return(testRule, now)
-	must.Eq(t, left, b.Left(testRule, now))
+	must.Eq(t, before, b.Left(testRule, now))
 }
 
-// Load: 30 requests a second, and at one moment a domain of instances is gone, with a
-// quarter of the requests in progress. All of them may be sent again.
-func TestBudgetBearsTheLossOfADomain(t *testing.T) {
+// 30 requests a second, and a domain of instances fails at once with a quarter of the requests
+// in flight. All of these may be resent.
+func TestBudgetCoversDomainLoss(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	for range 300 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Load: a request in three seconds. What one repeat takes is saved up.
-func TestBudgetOfAQuietServiceAllowsARepeat(t *testing.T) {
+// One request in three seconds: credit for one retry is kept.
+func TestBudgetOfLowTrafficServiceAllowsRetry(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	slow := BudgetRule{Ratio: 0.5, Window: testRule.Window}
@@ -65,17 +65,17 @@
 	must.False(t, b.Repeat(slow, now))
 }
 
-// Whatever it is that ends processes, and how often: one daemon's repeats in a window are
-// within the share of its requests in that window, but for what was saved before it.
-func TestBudgetBoundsAllLivesOfADaemon(t *testing.T) {
+// However often the process restarts, the retries of one daemon in a window stay within the share
+// of its requests in that window, plus what was accrued before it.
+func TestBudgetHoldsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b, now, end := NewBudget(), time.Unix(1000, 0), time.Unix(1000, 0).Add(testRule.Window)
-		saved := 1.0
+		accruedBefore := 1.0
 		for range rapid.IntRange(0, 100).Draw(r, "before") {
 			b.Request(testRule, now)
-			saved += testRule.Ratio
+			accruedBefore += testRule.Ratio
 		}
-		requests, repeats := 0, 0
+		requests, retries := 0, 0
 		for !now.After(end) {
 			switch rapid.SampledFrom([]string{"request", "request", "repeat", "repeat", "restart"}).Draw(r, "what") {
 			case "request":
@@ -83,58 +83,58 @@
 				requests++
 			case "repeat":
 				if b.Repeat(testRule, now) {
-					repeats++
+					retries++
 				}
 			case "restart":
 				b = NewBudget()
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
 		}
-		if float64(repeats) > saved+testRule.Ratio*float64(requests) {
-			r.Fatalf("%d repeats for %d requests", repeats, requests)
+		if float64(retries) > accruedBefore+testRule.Ratio*float64(requests) {
+			r.Fatalf("%d retries for %d requests", retries, requests)
 		}
 	})
 }
 
-// What was not spent in a window must not be spent in a later one: saved up
-// repeats broke the shared budget on a hunted day.
-func TestBudgetKeepsEveryWindow(t *testing.T) {
+// Credit not spent in a window must not be spent in a later one: accrued retries once exceeded
+// the shared budget.
+func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := NewBudget()
 		now := time.Unix(1000, 0)
-		type moment struct {
+		type event struct {
 			at      time.Time
 			request bool
 		}
-		var log []moment
+		var events []event
 		for range rapid.IntRange(10, 400).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(r, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(r, "request") {
 				b.Request(testRule, now)
-				log = append(log, moment{now, true})
+				events = append(events, event{now, true})
 			} else if b.Repeat(testRule, now) {
-				log = append(log, moment{now, false})
+				events = append(events, event{now, false})
 			}
 		}
 		count := func(end time.Time, request bool) (n int) {
-			for _, m := range log {
-				if m.request == request && !m.at.After(end) && !m.at.Before(end.Add(-testRule.Window)) {
+			for _, e := range events {
+				if e.request == request && !e.at.After(end) && !e.at.Before(end.Add(-testRule.Window)) {
 					n++
 				}
 			}
 			return n
 		}
-		// When a repeat is made, the exact window that ends then holds its share.
-		for _, m := range log {
-			repeats, requests := count(m.at, false), count(m.at, true)
-			if !m.request && float64(repeats) > testRule.Ratio*float64(requests) {
-				r.Fatalf("%d repeats for %d requests", repeats, requests)
+		// At each retry, the retries of the exact window that ends then are within its share.
+		for _, e := range events {
+			retries, requests := count(e.at, false), count(e.at, true)
+			if !e.request && float64(retries) > testRule.Ratio*float64(requests) {
+				r.Fatalf("%d retries for %d requests", retries, requests)
 			}
 		}
 	})
 }
 
-func TestBudgetOfAnEarlierWindowIsGone(t *testing.T) {
+func TestBudgetExpiresWithWindow(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	for range 1000 {
--- /dev/null
+++ b/internal/dispatch/retryafter.go
@@ -0,0 +1,64 @@
+package dispatch
+
+import "time"
+
+// RefusalReason is the reason of a refusal, as far as it determines the retry delay.
+type RefusalReason int
+
+// Reasons of refusals.
+const (
+	// Elsewhere: this daemon can't remove the cause itself; another daemon, to which a retry goes,
+	// may serve the request at once.
+	Elsewhere RefusalReason = iota
+	// Busy: the upstreams that were tried are full or gone.
+	Busy
+	// Overload: all replicas have queues.
+	Overload
+	// Starting: this daemon has just started and has no configuration yet. Callers reach such a
+	// daemon while most daemons of its zone start or have just stopped, so another daemon is
+	// no better.
+	Starting
+)
+
+// Retry delays.
+const (
+	retryAfterBusy = 100 * time.Millisecond
+	// retryAfterLocal leaves most of the objective: another daemon serves at once.
+	retryAfterLocal = 10 * time.Millisecond
+	// retryAfterOverload is about the time in which a queue of one batch drains.
+	retryAfterOverload = 400 * time.Millisecond
+	// retryAfterStarting is about the time from start to the first served request after all
+	// machines lost power: earlier retries are refused again.
+	retryAfterStarting = time.Second
+)
+
+// ComeBack returns the retry delay for a refused request.
+func ComeBack(r RefusalReason) time.Duration {
+	switch r {
+	case Overload:
+		return retryAfterOverload
+	case Starting:
+		return retryAfterStarting
+	case Elsewhere:
+		return retryAfterLocal
+	}
+	return retryAfterBusy
+}
+
+// maxRetryAfter bounds retry delays that instances ask for.
+const maxRetryAfter = 10 * time.Second
+
+// ComeBackAfter returns the retry delay for a request that instances can accept after freeAfter.
+func ComeBackAfter(freeAfter time.Duration) time.Duration {
+	return min(max(freeAfter, retryAfterBusy), maxRetryAfter)
+}
+
+// maxWaitShare is the share of the time between the fastest answer and the objective that a request
+// may wait for an instance. The remainder is for other requests that wait for the same instance.
+const maxWaitShare = 0.5
+
+// WorthWaiting reports whether a request should wait for an instance that accepts it after
+// freeAfter. remaining is what is left of its objective; the fastest answer takes floor.
+func WorthWaiting(freeAfter, remaining, floor time.Duration) bool {
+	return freeAfter > 0 && freeAfter <= time.Duration(maxWaitShare*float64(remaining-floor))
+}
