--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,7 +1,6 @@
-// Package routes holds the configuration of a daemon that serves opaque requests
-// by host and path: routes, the services behind them, workspaces with their keys,
-// and what model replicas of a service cost. A Table is the compiled, immutable
-// form that requests are matched against.
+// Package routes holds the configuration of a daemon that serves opaque requests by host and path:
+// routes, the services behind them, workspaces with their API keys, and the timing of model
+// replicas. A Table is the compiled, immutable form that requests are matched against.
 package routes
 
 import (
@@ -12,50 +11,50 @@
 	"time"
 )
 
-// Kind says how often a request of a route may run and how it is answered.
+// Kind determines how often a request of a route may run and how it is answered.
 type Kind string
 
 // Kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests run once at most for each attempt of the caller.
+	// AtMostOnce requests run at most once for each attempt of the caller.
 	AtMostOnce Kind = "at_most_once"
-	// Stream requests are answered by a series of events. They run at most once
-	// unless the route is resumable.
+	// Stream requests are answered by a sequence of events. They run at most once unless the
+	// route is resumable.
 	Stream Kind = "stream"
 )
 
-// Share is a service's part of a route's requests.
+// Share assigns a service a weighted part of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says what happens to the requests of one host and path prefix.
+// Route configures the handling of requests with one host and path prefix.
 type Route struct {
 	Name      string
 	Host      string
-	Prefix    string // begins and ends with a slash
+	Prefix    string // starts and ends with a slash
 	Kind      Kind
-	Timeout   time.Duration // longest a request is held; 0: no bound
-	Objective time.Duration // until the answer, or a stream's first event
-	Gap       time.Duration // longest pause between events; 0: no objective
+	Timeout   time.Duration // longest time that a request is held; 0: unlimited
+	Objective time.Duration // time to the answer, or to a stream's first event
+	Gap       time.Duration // longest pause between a stream's events; 0: no objective
 	Priority  int           // 0 is the most urgent
 	Split     []Share
-	Attempts  int  // most instances one request is sent to
-	Public    bool // needs no key
-	Resumable bool // a cut stream may go on at another replica
+	Attempts  int  // most instances that one request is sent to
+	Public    bool // requires no API key
+	Resumable bool // an interrupted stream may continue at another replica
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service picks the service for a request by its id, so that the same id always
-// goes to the same service.
-func (r *Route) Service(id string) string {
+// Service returns the service for a request id according to the weights of the split. The same id
+// always gets the same service. It is empty if a split route has no positive weight.
+func (r *Route) Service(requestID string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
 	}
@@ -67,7 +66,7 @@
 		return ""
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id))
+	_, _ = h.Write([]byte(requestID))
 	n := int(h.Sum32() % uint32(total))
 	for _, s := range r.Split {
 		if n -= s.Weight; n < 0 {
@@ -77,32 +76,32 @@
 	return ""
 }
 
-// Model is one model that replicas of a service can hold.
+// Model is a model that the replicas of a service can hold.
 type Model struct {
 	Name  string
-	Size  int           // instances of one replica
-	Share float64       // part of the service's work at the start
+	Size  int           // number of instances in one replica
+	Share float64       // initial fraction of the service's work; 0: unknown
 	Pace  float64       // factor on all times of the engine
-	Load  time.Duration // from the weight store
-	Warm  time.Duration // from the host
+	Load  time.Duration // time to load the model from the weight store
+	Warm  time.Duration // time to load the model from the host
 }
 
-// Engine is how the instances of a model service work.
+// Engine describes the instances of a model service.
 type Engine struct {
 	Slots          int
 	Models         []Model
 	LoadsPerSecond float64
 	LoadsAtOnce    int
-	Step           time.Duration // one token of every request in progress
+	Step           time.Duration // time of one token for all requests in progress
 	PerRequest     time.Duration // added to a step for each request in progress
-	ReadPerSecond  float64       // prompt tokens
-	Chunk          int           // prompt tokens of one step, at most
+	ReadPerSecond  float64       // prompt tokens per second; 0: unknown
+	Chunk          int           // most prompt tokens of one step
 	Stride         int           // steps of one pass
 	UsualPrompt    int           // mean tokens of a prompt
 	UsualAnswer    int           // mean tokens of an answer
 }
 
-// Model returns a model by name.
+// Model returns the model with the given name and whether there is one.
 func (e *Engine) Model(name string) (Model, bool) {
 	i := slices.IndexFunc(e.Models, func(m Model) bool { return m.Name == name })
 	if i < 0 {
@@ -111,9 +110,9 @@
 	return e.Models[i], true
 }
 
-// LongestPass is how long one pass of a replica of a model may take: a whole batch
-// writes, and each step reads as many prompt tokens as it may. No event comes
-// meanwhile. 0: the costs are not told.
+// LongestPass returns the longest time of one pass of a replica, during which no stream gets an
+// event: a full batch generates tokens, and each step reads as many prompt tokens as it may. It is
+// 0 if the timing is not configured.
 func (e *Engine) LongestPass(m Model) time.Duration {
 	step := float64(e.Step + time.Duration(e.Slots)*e.PerRequest)
 	if e.ReadPerSecond > 0 {
@@ -122,15 +121,15 @@
 	return time.Duration(float64(max(e.Stride, 1)) * step * m.Pace)
 }
 
-// Service is a kind of upstream. Engine is nil for a plain service, any instance
-// of which serves any request.
+// Service is a set of upstream instances. Engine is nil for a plain service, in which any instance
+// serves any request.
 type Service struct {
 	Name     string
-	MaxConns int // accepted by one instance from all callers together
+	MaxConns int // most connections that one instance accepts from all clients together
 	Engine   *Engine
 }
 
-// Limits bound what callers may send.
+// Limits bounds the sizes and timeouts of client connections.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -138,14 +137,14 @@
 	IdleTimeout    time.Duration
 }
 
-// Workspace is a tenant. Priority, if given, goes before the route's.
+// Workspace is a customer with its API keys. Priority, if set, overrides that of the route.
 type Workspace struct {
 	Name     string
 	Keys     []string
 	Priority *int
 }
 
-// Config is one version of the configuration as the operators wrote it.
+// Config is one version of the configuration as written by the operators.
 type Config struct {
 	Version    uint64
 	Routes     []Route
@@ -156,36 +155,36 @@
 
 // Table is the compiled form of a Config. It is immutable.
 type Table struct {
-	Config   *Config
-	hosts    map[string][]*Route // longest prefix first
-	services map[string]*Service
-	keys     map[string]*Workspace
+	Config          *Config
+	routesByHost    map[string][]*Route // longest prefix first
+	servicesByName  map[string]*Service
+	workspacesByKey map[string]*Workspace
 }
 
-// Compile builds the table of a configuration.
+// Compile returns the routing table of a configuration, which must not be modified afterwards.
 func Compile(c *Config) *Table {
-	t := &Table{Config: c, hosts: map[string][]*Route{}, services: map[string]*Service{}, keys: map[string]*Workspace{}}
+	t := &Table{Config: c, routesByHost: map[string][]*Route{}, servicesByName: map[string]*Service{}, workspacesByKey: map[string]*Workspace{}}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.hosts[r.Host] = append(t.hosts[r.Host], r)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], r)
 	}
-	for _, list := range t.hosts {
+	for _, list := range t.routesByHost {
 		slices.SortStableFunc(list, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for i := range c.Services {
-		t.services[c.Services[i].Name] = &c.Services[i]
+		t.servicesByName[c.Services[i].Name] = &c.Services[i]
 	}
 	for i := range c.Workspaces {
 		for _, key := range c.Workspaces[i].Keys {
-			t.keys[key] = &c.Workspaces[i]
+			t.workspacesByKey[key] = &c.Workspaces[i]
 		}
 	}
 	return t
 }
 
-// Match returns the route with the longest prefix that begins the path, or nil.
+// Match returns the host's route with the longest prefix of the path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.hosts[host] {
+	for _, r := range t.routesByHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -193,17 +192,17 @@
 	return nil
 }
 
-// Service returns a service by name, or nil.
-func (t *Table) Service(name string) *Service { return t.services[name] }
+// Service returns the service with the given name, or nil.
+func (t *Table) Service(name string) *Service { return t.servicesByName[name] }
 
-// Keyed tells whether requests need a key at all.
+// Keyed reports whether requests require an API key, which they do once a workspace is configured.
 func (t *Table) Keyed() bool { return len(t.Config.Workspaces) > 0 }
 
-// Workspace returns the workspace that holds a key, or nil.
-func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
+// Workspace returns the workspace that owns an API key, or nil.
+func (t *Table) Workspace(key string) *Workspace { return t.workspacesByKey[key] }
 
-// ModelSize returns how many instances a replica of a service's model takes; 0:
-// unknown.
+// ModelSize returns the number of instances in a replica of a service's model, 0 if the service or
+// the model is unknown.
 func (t *Table) ModelSize(service, model string) int {
 	s := t.Service(service)
 	if s == nil || s.Engine == nil {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -43,7 +43,7 @@
 	must.Eq(t, 0, table.ModelSize("none", "m"))
 }
 
-func TestSplitFollowsWeightsAndStays(t *testing.T) {
+func TestSplitFollowsWeightsAndIsStable(t *testing.T) {
 	r := Route{Split: []Share{{"a", 90}, {"b", 10}, {"c", 0}}}
 	count := map[string]int{}
 	for i := range 10000 {
