--- a/internal/formation/assign.go
+++ b/internal/formation/assign.go
@@ -15,8 +15,8 @@
 // assign chooses the model of each domain. A domain keeps its assigned model, or the one that
 // most of its instances hold. Each remaining domain gets a model that is short of its share,
 // spread over zones.
-func (p *Planner) assign(c *planState) assignment {
-	v, engine := c.view, c.engine
+func (p *Planner) assign(state *planState) assignment {
+	v, engine := state.view, state.engine
 	byDomain := map[string][]*fleet.Instance{}
 	for _, in := range v.Services[p.Service] {
 		if in.Domain != "" && !in.Draining {
@@ -39,7 +39,7 @@
 	for _, d := range domains {
 		if m, ok := engine.Model(p.assigned[d]); ok {
 			assignDomain(d, m)
-		} else if m, ok := c.dominantModel(byDomain[d]); ok {
+		} else if m, ok := state.dominantModel(byDomain[d]); ok {
 			assignDomain(d, m)
 		}
 	}
@@ -77,25 +77,25 @@
 const minShare = 0.01
 
 // dominantModel returns the model that most of the given instances hold. It reports false if no
-// model is held by enough of them for a group.
-func (c *planState) dominantModel(instances []*fleet.Instance) (routes.Model, bool) {
+// model is held by enough instances for a group.
+func (s *planState) dominantModel(instances []*fleet.Instance) (routes.Model, bool) {
 	var best routes.Model
-	most := 0
-	for _, m := range c.engine.Models {
+	maxHolders := 0
+	for _, m := range s.engine.Models {
 		n := 0
 		for _, in := range instances {
-			if c.holds(in, m.Name) {
+			if s.holds(in, m.Name) {
 				n++
 			}
 		}
-		if n >= m.Size && n > most {
-			best, most = m, n
+		if n >= m.Size && n > maxHolders {
+			best, maxHolders = m, n
 		}
 	}
-	return best, most > 0
+	return best, maxHolders > 0
 }
 
-// mostMissing returns the model for a domain. Of the models that are short by at least
+// mostMissing returns the model for a domain without one. Of the models that are short by at least
 // minDomainDeficit it prefers the one with the fewest domains in the zone. Otherwise it returns
 // the one with the largest deficit.
 func (p *Planner) mostMissing(engine *routes.Engine, missing map[string]float64, inZone map[string]int) routes.Model {
@@ -118,11 +118,11 @@
 	return best
 }
 
-// minDomainDeficit is the deficit, in domains, from which a model is preferred for a further one.
+// minDomainDeficit is the deficit, in domains, from which a model is preferred for one more domain.
 const minDomainDeficit = 0.5
 
 // addUnassigned adds each model that got no domain to the largest domain, which then holds
-// several: with few domains some must be shared.
+// several: with fewer domains than models some domains must be shared.
 func (a assignment) addUnassigned(engine *routes.Engine, byDomain map[string][]*fleet.Instance, missing map[string]float64) assignment {
 	for _, m := range engine.Models {
 		if missing[m.Name] <= 0 || slices.ContainsFunc(sortedDomains(byDomain), func(d string) bool {
--- a/internal/formation/bench_test.go
+++ b/internal/formation/bench_test.go
@@ -58,7 +58,7 @@
 	now := time.Unix(1000, 0)
 	benchViews(b, func(v *fleet.View, engine *routes.Engine) {
 		p := NewPlanner(simService, 2, nil, now)
-		p.Idle = true
+		p.BeforeFirstRequest = true
 		p.Plan(v, engine, now)
 	})
 }
--- a/internal/formation/dissolve.go
+++ b/internal/formation/dissolve.go
@@ -6,10 +6,10 @@
 	"pearlanding/internal/fleet"
 )
 
-// dissolve frees the members of a group that can't serve. The head leaves first, if its entry
-// is known: after that no late order can open the group again. Each member must leave before it
-// may join another group, as a head whose entry is missing may be cut off from the store and
-// still open.
+// dissolve returns the orders that free the members of a group that can't serve. The head leaves
+// first, if its entry is known: after that no late order can open the group again. Each member
+// must leave before it may join another group, as a head whose entry is missing may be cut off
+// from the store and still open. Members that have left are no longer busy.
 func (p *Planner) dissolve(g *fleet.Group, busy map[string]bool, now time.Time) []Order {
 	markBusy(g, busy)
 	if g.Head != nil && !p.hasLeft(g.Head) && g.Head.Group.State != fleet.Broken {
@@ -26,12 +26,13 @@
 	return out
 }
 
-// stopHead closes a group that has all its members but loses one by plan, so that its streams
-// may finish. It makes the head of any other group leave at once.
+// stopHead returns the order that stops a group's head, if one is due. An open group that still has
+// all its members, as when one of them drains, is closed: its streams may finish within
+// closeTimeout. The head of any other group leaves at once.
 func (p *Planner) stopHead(g *fleet.Group, now time.Time) []Order {
-	state, whole := g.Head.Group.State, g.Size == len(g.Members)
+	state, allMembersKnown := g.Head.Group.State, g.Size == len(g.Members)
 	head := Order{Op: OpLeave, Instance: g.Head.ID, Address: g.Head.Address, Group: g.Key, Version: g.Head.Version, Reason: "group is not complete"}
-	if whole && !p.closeTimedOut(g, now) {
+	if allMembersKnown && !p.closeTimedOut(g, now) {
 		switch state {
 		case fleet.Open:
 			if _, ok := p.closing[g.Key]; !ok {
@@ -45,7 +46,7 @@
 	return p.unlessSentRecently(now, head)
 }
 
-// leftGroup is a group that an instance left and the version of its entry before that. A newer
+// leftGroup is a group that an instance left and the version of its entry from before. A newer
 // entry with the same group shows that the instance has rejoined.
 type leftGroup struct {
 	group   fleet.Key
@@ -54,18 +55,19 @@
 
 // hasLeft reports whether an instance has left the group that its entry still shows.
 func (p *Planner) hasLeft(in *fleet.Instance) bool {
-	return in.Group.Name != "" && p.left[in.ID] == leftGroup{in.Group.Key(), in.Version}
+	return in.Group.Name != "" && p.leftGroups[in.ID] == leftGroup{in.Group.Key(), in.Version}
 }
 
-// RecordOutcome records the outcome of an order, which entries may not show yet.
+// RecordOutcome records, after an answered leave, that the instance is no longer in the group, which
+// its entry may not show yet. It ignores all other outcomes.
 func (p *Planner) RecordOutcome(o Order, outcome Outcome) {
 	if o.Op == OpLeave && outcome != Unanswered {
-		p.left[o.Instance] = leftGroup{o.Group, o.Version} // a refused leave means that it is not in the group
+		p.leftGroups[o.Instance] = leftGroup{o.Group, o.Version} // a refused leave means that the instance is not in the group
 	}
 }
 
-// closeTimeout is how long a group that loses a member by plan may finish its streams. It is
-// below the 10 s for which a leaving member stays at most for its head.
+// closeTimeout is how long a group with a draining member may finish its streams. It is shorter than
+// the 10 s that a draining member waits at most for its head.
 const closeTimeout = 8 * time.Second
 
 // closeTimedOut reports whether the group was ordered to close more than closeTimeout ago.
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -14,31 +14,31 @@
 	domain         *freeDomain
 	model          routes.Model
 	members        []*fleet.Instance
-	loads          int     // number of members that would load from the weight store
+	loads          int     // number of members that would load the model from the weight store
 	deficitRatio   float64 // missing fraction of the model's target
 	groupsInDomain int     // number of the model's groups in the domain
 	freeInDomain   int     // number of free instances in the domain
 }
 
-// formGroups forms groups of free instances until no candidate is left, then warms the
-// remaining instances and loads models to their hosts. It passes each order to yield and stops
-// when yield returns false.
+// formGroups forms groups of free instances until no candidate is left, then warms the remaining
+// instances and loads models to their hosts. It plans nothing more once the loads of the next
+// group would exceed a limit. It passes each order to yield and stops when yield returns false.
 func (p *Planner) formGroups(v *fleet.View, engine *routes.Engine, busy map[string]bool, now time.Time, yield func(...Order) bool) {
-	loading := p.loadsInFlight(v, now)
-	c := p.newPlanState(v, engine, busy, now)
-	models, cold := p.assign(c), p.Idle && p.cold(v)
+	inFlight := p.loadsInFlight(v, now)
+	state := p.newPlanState(v, engine, busy, now)
+	models, cold := p.assign(state), p.BeforeFirstRequest && p.cold(v)
 	for {
-		best := c.bestCandidate(models, cold)
+		best := state.bestCandidate(models, cold)
 		if best == nil {
 			break
 		}
-		if !p.mayLoad(engine, cold, loading, best.loads, now) {
+		if !p.mayLoad(engine, cold, inFlight, best.loads, now) {
 			return
 		}
-		loading += best.loads
+		inFlight += best.loads
 		p.recordLoads(best.loads, now)
 		f := p.startGroup(best, now)
-		c.groupStarted(f, best)
+		state.groupStarted(f, best)
 		for _, in := range best.members {
 			busy[in.ID] = true
 			if !yield(p.unlessSentRecently(now, p.joinOrder(f, in, "new group"))...) {
@@ -46,24 +46,24 @@
 			}
 		}
 	}
-	if yield(p.warmSpares(models, c.domains, busy, now)...) {
-		yield(p.stageSpares(c, models, cold, loading, now)...)
+	if yield(p.warmSpares(models, state.domains, busy, now)...) {
+		yield(p.stageSpares(state, models, cold, inFlight, now)...)
 	}
 }
 
 // startGroup records a new forming group.
-func (p *Planner) startGroup(o *candidate, now time.Time) *forming {
+func (p *Planner) startGroup(c *candidate, now time.Time) *formingGroup {
 	epoch := p.nextEpoch()
-	f := &forming{key: fleet.Key{Name: groupName(o.model.Name, epoch), Epoch: epoch}, model: o.model, since: now, loads: o.loads}
-	for _, in := range o.members {
+	f := &formingGroup{key: fleet.Key{Name: groupName(c.model.Name, epoch), Epoch: epoch}, model: c.model, since: now, loads: c.loads}
+	for _, in := range c.members {
 		f.members, f.incarnations = append(f.members, in.ID), append(f.incarnations, in.Born)
 	}
 	p.forming[f.key] = f
 	return f
 }
 
-// free returns the instances that may join a group, by domain.
-func (p *Planner) free(v *fleet.View, busy map[string]bool, now time.Time) map[string][]*fleet.Instance {
+// freeByDomain returns the instances that may join a group, by domain.
+func (p *Planner) freeByDomain(v *fleet.View, busy map[string]bool, now time.Time) map[string][]*fleet.Instance {
 	out := map[string][]*fleet.Instance{}
 	for _, in := range v.Services[p.Service] {
 		if !busy[in.ID] && !in.Draining && in.Domain != "" && (in.Group.Name == "" || p.hasLeft(in)) && !p.mayRejoin(in.ID, now) {
@@ -95,8 +95,8 @@
 	return n
 }
 
-// Limits on loads in flight, in multiples of LoadsAtOnce. Above one, loads slow each other
-// down, but the weight store stays busy while views lag.
+// Limits on loads in flight, in multiples of the loads that the weight store serves at once. Above
+// one, loads slow each other down, but the weight store stays busy while views lag.
 const (
 	coldLoadFactor = 3 // before the first request: only the end of the last load matters
 	warmLoadFactor = 2 // later: the ends of the first loads matter too
@@ -106,16 +106,16 @@
 	loadCeilingShare = 0.45
 )
 
-// mayLoad reports whether n more loads may start.
-func (p *Planner) mayLoad(engine *routes.Engine, cold bool, loading, n int, now time.Time) bool {
+// mayLoad reports whether n more loads may start beside those in flight.
+func (p *Planner) mayLoad(engine *routes.Engine, cold bool, inFlight, n int, now time.Time) bool {
 	if n == 0 {
 		return true
 	}
 	atOnce := max(engine.LoadsAtOnce, 1)
 	if cold {
-		return loading < coldLoadFactor*atOnce
+		return inFlight < coldLoadFactor*atOnce
 	}
-	return loading < warmLoadFactor*atOnce && p.loadsInWindow(now)+n <= p.loadCeiling(engine, now)
+	return inFlight < warmLoadFactor*atOnce && p.loadsInWindow(now)+n <= p.loadCeiling(engine, now)
 }
 
 // loadCeiling returns how many loads this planner may start within a window. During its first
@@ -192,32 +192,33 @@
 // chooseMembers returns a candidate group of the model from the free instances of one domain, nil
 // if there are too few. It prefers instances with the lowest join cost and, among equals, those
 // whose last group was of the model.
-func chooseMembers(m routes.Model, free []*fleet.Instance, warmed map[string]string) *candidate {
+func chooseMembers(m routes.Model, free []*fleet.Instance, lastModel map[string]string) *candidate {
 	if len(free) < m.Size {
 		return nil
 	}
 	list := slices.Clone(free)
 	slices.SortStableFunc(list, func(a, b *fleet.Instance) int {
 		return cmp.Or(cmp.Compare(joinCost(a, m.Name), joinCost(b, m.Name)),
-			cmp.Compare(boolToInt(warmed[a.ID] != m.Name), boolToInt(warmed[b.ID] != m.Name)))
+			cmp.Compare(boolToInt(lastModel[a.ID] != m.Name), boolToInt(lastModel[b.ID] != m.Name)))
 	})
-	o := &candidate{model: m, members: list[:m.Size]}
-	for _, in := range o.members {
+	c := &candidate{model: m, members: list[:m.Size]}
+	for _, in := range c.members {
 		if joinCost(in, m.Name) > costStaged {
-			o.loads++
+			c.loads++
 		}
 	}
-	return o
+	return c
 }
 
-// Ranks of the time that an instance takes to join a group of a model, fastest first.
+// Costs of joining a group of a model: ranks of the time that it takes, fastest first.
 const (
-	costLoaded = iota // its last group was of the model
+	costLoaded = iota // the model is loaded: the last group was of it
 	costStaged        // the model is on its host
 	costEmpty         // nothing is staged: a load replaces nothing
 	costOther         // a load replaces another staged model
 )
 
+// joinCost returns the cost at which an instance joins a group of a model.
 func joinCost(in *fleet.Instance, model string) int {
 	switch {
 	case slices.Contains(in.Models, model):
--- a/internal/formation/incarnation.go
+++ b/internal/formation/incarnation.go
@@ -3,8 +3,8 @@
 import "pearlanding/internal/fleet"
 
 // forgetRestarted drops what was ordered from earlier incarnations of restarted instances: a new
-// incarnation holds no model and stages none. Joins are kept, as the new incarnation may carry
-// out one that is still unanswered.
+// incarnation holds no model and stages none. Joins are kept, as the new incarnation may still carry
+// out one that was sent to the earlier incarnation and not answered.
 func (p *Planner) forgetRestarted(v *fleet.View) {
 	for id := range p.incarnations {
 		if v.Instances[id] == nil {
@@ -17,7 +17,7 @@
 		if known && startedAt != in.Born {
 			delete(p.lastModel, in.ID)
 			delete(p.staging, in.ID)
-			delete(p.left, in.ID)
+			delete(p.leftGroups, in.ID)
 		}
 	}
 }
--- a/internal/formation/incarnation_test.go
+++ b/internal/formation/incarnation_test.go
@@ -39,7 +39,7 @@
 	s.restart(spare)
 	p.Plan(s.view(), s.engine, s.now)
 	must.Eq(t, "large", p.lastModel[spare])
-	must.True(t, func() bool { _, sent := p.joins[spare]; return sent }())
+	must.True(t, func() bool { _, sent := p.lastJoins[spare]; return sent }())
 	s.run(p, 10*time.Second)
 	must.Eq(t, map[string]int{"large": 1}, s.serving())
 }
@@ -50,7 +50,7 @@
 	s := newSim(t, 1, 4)
 	s.engine.Models = s.engine.Models[:1]
 	p := NewPlanner(simService, 1, nil, s.now)
-	p.Idle = true // members load as they join
+	p.BeforeFirstRequest = true // members load as they join
 	s.run(p, 500*time.Millisecond)
 	must.MapLen(t, 1, p.forming)
 	var before fleet.Key
@@ -70,10 +70,10 @@
 	startedAt int64
 }
 
-func (b *incarnationProber) Probe(_ context.Context, in *fleet.Instance) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if in.Born != b.startedAt {
+func (p *incarnationProber) Probe(_ context.Context, in *fleet.Instance) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if in.Born != p.startedAt {
 		return ErrAnotherLife
 	}
 	return nil
@@ -83,15 +83,15 @@
 // that was a member of the group is dead. Answers of the next incarnation count for that one only.
 func TestDeathAppliesToOneIncarnation(t *testing.T) {
 	prober := &incarnationProber{startedAt: 2}
-	s := newFailureDetector(prober, zap.NewNop())
+	d := newFailureDetector(prober, zap.NewNop())
 	first := &fleet.Instance{ID: "a", Service: simService, Born: 1}
 	next := &fleet.Instance{ID: "a", Service: simService, Born: 2}
 	view := func(in *fleet.Instance) *fleet.View {
 		return fleet.Build(1, time.Now(), map[string]*fleet.Instance{"a": in}, nil, func(string, string) int { return 0 })
 	}
-	s.probe(context.Background(), first)
-	must.MapNotContainsKey(t, s.excludeDead(view(first), nil).Instances, "a")
-	must.MapContainsKey(t, s.excludeDead(view(next), nil).Instances, "a")
-	s.probe(context.Background(), next) // an answer of the next incarnation does not revive the first
-	must.MapNotContainsKey(t, s.excludeDead(view(first), func(string, string) int { return 0 }).Instances, "a")
+	d.probe(context.Background(), first)
+	must.MapNotContainsKey(t, d.excludeDead(view(first), nil).Instances, "a")
+	must.MapContainsKey(t, d.excludeDead(view(next), nil).Instances, "a")
+	d.probe(context.Background(), next) // an answer of the next incarnation does not revive the first
+	must.MapNotContainsKey(t, d.excludeDead(view(first), func(string, string) int { return 0 }).Instances, "a")
 }
--- a/internal/formation/lapsed_test.go
+++ b/internal/formation/lapsed_test.go
@@ -63,8 +63,8 @@
 		}
 	}
 	size := func(_, model string) int { m, _ := s.engine.Model(model); return m.Size }
-	serving := func(found *failureDetector) bool {
-		for _, g := range found.excludeDead(s.view(), size).Groups {
+	serving := func(detector *failureDetector) bool {
+		for _, g := range detector.excludeDead(s.view(), size).Groups {
 			return g.Serving()
 		}
 		return false
@@ -76,11 +76,11 @@
 	must.False(t, serving(silent))
 }
 
-// recordingProber sends the ids of the probed instances.
+// recordingProber sends the id of each probed instance to the channel.
 type recordingProber chan string
 
-func (a recordingProber) Probe(_ context.Context, in *fleet.Instance) error {
-	a <- in.ID
+func (p recordingProber) Probe(_ context.Context, in *fleet.Instance) error {
+	p <- in.ID
 	return nil
 }
 
@@ -91,7 +91,7 @@
 	for id, e := range s.engines {
 		if e.in.Group.Rank == 1 {
 			e.cutOff = true
-			newFailureDetector(prober, zap.NewNop()).probeStalled(t.Context(), s.view(), nil, s.now)
+			newFailureDetector(prober, zap.NewNop()).startProbes(t.Context(), s.view(), nil, s.now)
 			must.Eq(t, id, <-prober)
 		}
 	}
--- a/internal/formation/lease.go
+++ b/internal/formation/lease.go
@@ -22,7 +22,7 @@
 	// whether to check it.
 	renewInterval = 800 * time.Millisecond
 	// leaseCallTimeout bounds a renewal, so that a lost call is noticed while there is still
-	// time to renew the lease. The calls of one Step take at most twice that.
+	// time to renew the lease. All calls of one Step together take at most twice as long.
 	leaseCallTimeout = 600 * time.Millisecond
 	// leaseTTL is how long the holder may act after it sent the last confirmed renewal.
 	leaseTTL = 1800 * time.Millisecond
@@ -57,13 +57,13 @@
 	term           uint64 // version at which this holder acquired the lease; 0: not held
 	version        uint64 // last version seen
 	record         leaseRecord
-	unchangedSince time.Time // when version was first seen
+	unchangedSince time.Time // since when the lease is known to be unchanged
 	// abandoned makes the next Step release the lease.
 	abandoned atomic.Bool
 	// inheritedResends are the instances that the record listed when the lease was acquired.
 	inheritedResends map[string]bool
-	renewedAt        time.Time // when the last confirmed renewal was sent
-	mu               sync.Mutex
+	renewedAt        time.Time  // when the last confirmed renewal was sent
+	mu               sync.Mutex // guards resent
 	// resent is when NoteResend was last called, by instance.
 	resent map[string]time.Time
 }
@@ -79,11 +79,11 @@
 
 // Held returns the term if this daemon holds the lease at now, otherwise 0.
 func (l *Lease) Held(now time.Time) uint64 {
-	h := l.state.Load()
-	if h == nil || h.term == 0 || now.Sub(h.renewedAt) >= leaseTTL {
+	s := l.state.Load()
+	if s == nil || s.term == 0 || now.Sub(s.renewedAt) >= leaseTTL {
 		return 0
 	}
-	return h.term
+	return s.term
 }
 
 // NoteResend makes the record list an instance from the next renewal until maxOrderDelay after
@@ -110,23 +110,23 @@
 // ResendRecorded reports whether the stored record lists an instance. Only then may a join be
 // sent to it again, so that the next holder knows of the second copy.
 func (l *Lease) ResendRecorded(instance string) bool {
-	h := l.state.Load()
-	return h != nil && h.recorded[instance]
+	s := l.state.Load()
+	return s != nil && s.recorded[instance]
 }
 
 // InheritedResends returns the instances to which the previous holder may have sent joins
 // twice. The caller must not modify the map.
 func (l *Lease) InheritedResends() map[string]bool {
-	if h := l.state.Load(); h != nil {
-		return h.inheritedResends
+	if s := l.state.Load(); s != nil {
+		return s.inheritedResends
 	}
 	return nil
 }
 
 // HolderSeen reports whether the last known record names a holder.
 func (l *Lease) HolderSeen() bool {
-	h := l.state.Load()
-	return h != nil && h.holderSeen
+	s := l.state.Load()
+	return s != nil && s.holderSeen
 }
 
 // Abandon makes the next Step release the lease, so that its next holder begins another term.
@@ -151,7 +151,7 @@
 		l.renew(ctx)
 		return
 	}
-	asked := l.Clock.Now()
+	sentAt := l.Clock.Now()
 	o, err := l.Feed.Get(ctx, l.Key)
 	switch {
 	case errors.Is(err, objectapi.ErrNotFound):
@@ -161,7 +161,7 @@
 		l.unchangedSince = l.Clock.Now() // an unread lease doesn't count as unchanged
 		return
 	}
-	l.observe(o, asked)
+	l.observe(o, sentAt)
 	if l.record.Holder == "" || l.Clock.Since(l.unchangedSince) >= takeoverAfter {
 		l.acquire(ctx)
 	}
@@ -175,34 +175,36 @@
 	return set
 }
 
-// observe records a version of the lease that was read by a call sent at asked.
-func (l *Lease) observe(o objectapi.Object, asked time.Time) {
+// observe records a version of the lease that was read by a call sent at sentAt.
+func (l *Lease) observe(o objectapi.Object, sentAt time.Time) {
 	if o.Version == l.version {
 		return
 	}
-	l.version, l.unchangedSince = o.Version, asked
+	l.version, l.unchangedSince = o.Version, sentAt
 	l.record = leaseRecord{}
 	if err := json.Unmarshal(o.Value, &l.record); err != nil {
 		l.Log.Error("lease record not decoded", zap.Error(err))
 	}
 }
 
+// create acquires a lease that does not exist in the store.
 func (l *Lease) create(ctx context.Context) {
-	asked := l.Clock.Now()
+	sentAt := l.Clock.Now()
 	l.record = leaseRecord{Holder: l.Holder, Count: 1}
 	version, err := l.Feed.Create(ctx, l.Key, l.encode())
-	l.acquired(version, asked, err)
+	l.recordAcquisition(version, sentAt, err)
 }
 
+// acquire acquires a lease whose holder released it or no longer renews it.
 func (l *Lease) acquire(ctx context.Context) {
-	asked := l.Clock.Now()
+	sentAt := l.Clock.Now()
 	l.inheritedResends = setOf(l.record.Resent)
 	for instance := range l.inheritedResends {
-		l.NoteResend(instance, asked)
+		l.NoteResend(instance, sentAt)
 	}
 	l.record = leaseRecord{Holder: l.Holder, Count: l.record.Count + 1, Resent: l.record.Resent}
 	version, err := l.Feed.Update(ctx, l.Key, l.version, l.encode())
-	l.acquired(version, asked, err)
+	l.recordAcquisition(version, sentAt, err)
 }
 
 func (l *Lease) encode() []byte {
@@ -213,34 +215,35 @@
 	return value
 }
 
-// acquired records the outcome of acquiring the lease. The next Step reads back an unknown
+// recordAcquisition records the outcome of acquiring the lease. The next Step reads back an unknown
 // outcome: the record then names this holder, but its term is unknown, so the lease is
 // acquired again once it counts as unchanged.
-func (l *Lease) acquired(version uint64, asked time.Time, err error) {
+func (l *Lease) recordAcquisition(version uint64, sentAt time.Time, err error) {
 	if err != nil {
 		l.version, l.record = 0, leaseRecord{}
 		l.Log.Info("lease not taken", zap.Error(err))
 		return
 	}
-	l.term, l.version, l.renewedAt = version, version, asked
+	l.term, l.version, l.renewedAt = version, version, sentAt
 	l.Log.Info("lease taken", zap.Uint64("term", version))
 }
 
+// renew renews the held lease and drops it if it was lost or not renewed in time.
 func (l *Lease) renew(ctx context.Context) {
-	asked := l.Clock.Now()
+	sentAt := l.Clock.Now()
 	previous := l.record
 	l.record.Count++
-	l.record.Resent = l.recentResends(asked)
+	l.record.Resent = l.recentResends(sentAt)
 	timed, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	version, err := l.Feed.Update(timed, l.Key, l.version, l.encode())
 	switch {
 	case err == nil:
-		l.version, l.renewedAt = version, asked
+		l.version, l.renewedAt = version, sentAt
 	case errors.Is(err, objectapi.ErrConflict):
 		l.drop("lease lost", err)
 	case errors.Is(err, objectapi.ErrUnknownOutcome):
-		l.readBack(ctx, asked)
+		l.readBack(ctx, sentAt)
 	case l.Clock.Since(l.renewedAt) >= leaseTTL:
 		l.drop("lease not renewed in time", err)
 	default:
@@ -248,13 +251,13 @@
 	}
 }
 
-// readBack resolves the unknown outcome of a renewal sent at asked.
-func (l *Lease) readBack(ctx context.Context, asked time.Time) {
+// readBack reads the lease to resolve the unknown outcome of a renewal that was sent at sentAt.
+func (l *Lease) readBack(ctx context.Context, sentAt time.Time) {
 	o, err := l.Feed.Get(ctx, l.Key)
 	if err == nil {
 		var r leaseRecord
 		if json.Unmarshal(o.Value, &r) == nil && r.Holder == l.Holder {
-			l.version, l.renewedAt, l.record = o.Version, asked, r
+			l.version, l.renewedAt, l.record = o.Version, sentAt, r
 			return
 		}
 		l.drop("lease lost", nil)
@@ -265,6 +268,7 @@
 	}
 }
 
+// drop logs why the lease is no longer held and forgets its term.
 func (l *Lease) drop(why string, err error) {
 	l.Log.Info(why, zap.Uint64("term", l.term), zap.Duration("proof_age", l.Clock.Since(l.renewedAt)), zap.Error(err))
 	l.term, l.version, l.record, l.unchangedSince = 0, 0, leaseRecord{}, l.Clock.Now()
--- a/internal/formation/lease_test.go
+++ b/internal/formation/lease_test.go
@@ -14,14 +14,14 @@
 // singleObjectStore is a store with one object.
 type singleObjectStore struct {
 	objectapi.Feed
-	o objectapi.Object
+	object objectapi.Object
 }
 
 func (s *singleObjectStore) Get(context.Context, string) (objectapi.Object, error) {
-	if s.o.Version == 0 {
+	if s.object.Version == 0 {
 		return objectapi.Object{}, objectapi.ErrNotFound
 	}
-	return s.o, nil
+	return s.object, nil
 }
 
 func (s *singleObjectStore) Create(_ context.Context, key string, value []byte) (uint64, error) {
@@ -29,15 +29,15 @@
 }
 
 func (s *singleObjectStore) Update(_ context.Context, key string, version uint64, value []byte) (uint64, error) {
-	if version != s.o.Version {
+	if version != s.object.Version {
 		return 0, objectapi.ErrConflict
 	}
-	s.o = objectapi.Object{Key: key, Version: version + 1, Value: value}
-	return s.o.Version, nil
+	s.object = objectapi.Object{Key: key, Version: version + 1, Value: value}
+	return s.object.Version, nil
 }
 
-func newLease(s *singleObjectStore, holder string) *Lease {
-	return &Lease{Feed: s, Key: "leases/groups", Holder: holder, Log: zap.NewNop()}
+func newLease(store *singleObjectStore, holder string) *Lease {
+	return &Lease{Feed: store, Key: "leases/groups", Holder: holder, Log: zap.NewNop()}
 }
 
 // A join may be sent again only once the stored record lists its instance, and the next holder
@@ -64,7 +64,7 @@
 }
 
 // A term ends before its epochs run out. The next term has a higher number and higher epochs, also
-// with the same holder.
+// when the holder stays the same.
 func TestTermEndsBeforeItsEpochsRunOut(t *testing.T) {
 	l := newLease(&singleObjectStore{}, "h")
 	l.Step(t.Context())
--- a/internal/formation/manager.go
+++ b/internal/formation/manager.go
@@ -38,8 +38,8 @@
 	// over which loads from the weight store are limited.
 	Idle   func() bool
 	Window func() time.Duration
-	// Serving reports whether this daemon is its zone's relay for the instances. The relays,
-	// one a zone, check the lease most often. nil: it is not a relay.
+	// Serving reports whether this daemon relays the instances to the other daemons of its
+	// zone. Relays, one in each zone, check the lease most often. nil: it is no relay.
 	Serving func() bool
 	// Relayed reports whether this daemon follows the instances through a relay, which
 	// then also checks for neglected work. nil: it does not.
@@ -47,9 +47,10 @@
 	// FirstLook is the delay from the start of Run to the first check of the lease. By then
 	// a daemon knows whether it follows through a relay.
 	FirstLook time.Duration
-	// Still returns the ids of the instances whose streams through this daemon are stalled.
+	// Still returns the ids of group heads with stalled streams or recently failed requests, at
+	// this daemon or at others as far as it knows.
 	Still func(now time.Time) []string
-	// Stopped is signaled when Still returns more instances; nil: Still is polled only.
+	// Stopped is signaled when there may be more such heads; nil: plans find them later.
 	Stopped <-chan struct{}
 	Log     *zap.Logger
 	// Metrics receives the counters of orders, loads and groups.
@@ -63,11 +64,11 @@
 	term             uint64
 	lastNeglectCheck time.Time    // when the view was last checked for neglected work
 	checked          pendingInput // input of the last check
-	workPending      bool         // whether that input holds work for a planner
+	workPending      bool         // whether that input shows work for a planner
 	pendingSince     time.Time    // since when there is pending work; zero: none
-	// neglected: work has been pending for more than neglectAfter.
+	// neglected is set while work has been pending for more than neglectAfter.
 	neglected atomic.Bool
-	termStart time.Time // when this daemon first planned in the term
+	termStart time.Time // when this daemon noticed that it holds the lease in this term
 }
 
 // orderResult is the outcome of an order sent in a term.
@@ -82,7 +83,7 @@
 const (
 	planInterval = 250 * time.Millisecond
 	orderTimeout = time.Second
-	// deathBatchDelay is how long the manager waits for further deaths before it plans: the
+	// deathBatchDelay is how long the manager waits for more deaths before it plans: the
 	// probes of a failed domain end within some milliseconds of one another. Without it 36 dead
 	// members caused 36 plans, each of a view in which the others were still alive.
 	deathBatchDelay = 25 * time.Millisecond
@@ -108,8 +109,8 @@
 			<-released
 			return
 		case <-acquired:
-		case e := <-m.results:
-			if !m.recordResults(e, m.Clock.Now()) {
+		case r := <-m.results:
+			if !m.recordResults(r, m.Clock.Now()) {
 				continue
 			}
 		case <-m.Changed:
@@ -122,9 +123,9 @@
 	}
 }
 
-// keepLease acquires and renews the lease; nothing else does. A daemon that does not hold the
-// lease checks it only while work is neglected or no holder is known, and at long intervals: each
-// check is a call to the store, and there may be hundreds of daemons.
+// keepLease acquires, renews and releases the lease; nothing else does. A daemon that does not hold
+// the lease checks it only while work is neglected or no holder is known, and at long intervals:
+// each check is a call to the store, and there may be hundreds of daemons.
 func (m *Manager) keepLease(ctx context.Context, acquired chan<- struct{}, released chan<- struct{}) {
 	defer close(released)
 	pause.For(ctx, m.FirstLook)
@@ -156,9 +157,9 @@
 
 // Intervals at which a daemon checks a lease that it does not hold.
 const (
-	// checkInterval applies while no work is neglected. relayCheckInterval is that of the
-	// relays: a holder that is cut off is noticed only once groups fail, and each second
-	// counts then.
+	// checkInterval applies while a holder is known and no work is neglected.
+	// relayCheckInterval is that of the relays: a holder that is cut off is noticed only once
+	// groups fail, and each second counts then.
 	checkInterval      = 20 * time.Second
 	relayCheckInterval = time.Second
 	// relayedCheckInterval is that of a daemon that follows through a relay, which checks the
@@ -227,15 +228,15 @@
 	return false
 }
 
-// maxViewAge is how long ago a view may have been confirmed for planning: two calls that
-// follow the entries, and some time for slow answers.
+// maxViewAge is how long ago a view that is used for planning may have been confirmed. It covers
+// two consecutive calls that wait for changes of the entries and some time for slow answers.
 const maxViewAge = 8 * time.Second
 
 // viewCurrent reports whether the view was confirmed within maxViewAge and after the term
 // began, so that it shows all that the previous holder did.
 func (m *Manager) viewCurrent(now time.Time) bool {
-	proved := m.Proved()
-	return proved.After(m.termStart) && now.Sub(proved) < maxViewAge
+	confirmedAt := m.Proved()
+	return confirmedAt.After(m.termStart) && now.Sub(confirmedAt) < maxViewAge
 }
 
 // plan runs the planners of all model services and sends their orders, if this daemon holds the
@@ -266,7 +267,7 @@
 	}
 	m.counts.observeView(view, now)
 	defer m.observePlan(now)
-	m.detector.probeStalled(ctx, view, m.Still(now), now)
+	m.detector.startProbes(ctx, view, m.Still(now), now)
 	view = m.detector.excludeDead(view, table.ModelSize)
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
@@ -278,7 +279,7 @@
 			p = NewPlanner(s.Name, term, m.Lease.InheritedResends(), now)
 			m.planners[s.Name] = p
 		}
-		p.MayResend, p.Idle, p.LoadWindow = m.Lease.ResendRecorded, m.Idle(), m.Window()
+		p.MayResend, p.BeforeFirstRequest, p.LoadWindow = m.Lease.ResendRecorded, m.Idle(), m.Window()
 		for _, o := range p.Plan(view, s.Engine, now) {
 			go m.sendOrder(ctx, s.Name, term, o, view.Revision)
 		}
@@ -315,27 +316,27 @@
 	m.Log.Info("groups", zap.Object("seen", s), zap.Uint64("term", m.term), zap.Uint64("view_revision", revision))
 }
 
-// recordResults records an order's result and all others that are waiting. plan reports whether
-// they may lead to new orders.
-func (m *Manager) recordResults(e orderResult, now time.Time) (plan bool) {
+// recordResults records an order's result and all others that are waiting. mayOrder reports
+// whether they may lead to new orders.
+func (m *Manager) recordResults(r orderResult, now time.Time) (mayOrder bool) {
 	for {
-		m.recordResult(e, now)
-		plan = plan || e.order.Op == OpLeave && e.outcome != Unanswered
+		m.recordResult(r, now)
+		mayOrder = mayOrder || r.order.Op == OpLeave && r.outcome != Unanswered
 		select {
-		case e = <-m.results:
+		case r = <-m.results:
 		default:
-			return plan
+			return mayOrder
 		}
 	}
 }
 
 // recordResult passes an order's result to the lease and to the planner that gave the order.
-func (m *Manager) recordResult(e orderResult, now time.Time) {
-	if e.order.Op == OpJoin && e.outcome == Unanswered {
-		m.Lease.NoteResend(e.order.Instance, now)
+func (m *Manager) recordResult(r orderResult, now time.Time) {
+	if r.order.Op == OpJoin && r.outcome == Unanswered {
+		m.Lease.NoteResend(r.order.Instance, now)
 	}
-	if p := m.planners[e.service]; p != nil && e.term == m.term {
-		p.RecordOutcome(e.order, e.outcome)
+	if p := m.planners[r.service]; p != nil && r.term == m.term {
+		p.RecordOutcome(r.order, r.outcome)
 	}
 }
 
--- a/internal/formation/manager_test.go
+++ b/internal/formation/manager_test.go
@@ -14,15 +14,15 @@
 func TestPlannerWaitsForViewOfItsTerm(t *testing.T) {
 	began := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
-		proved, now time.Time
-		current     bool
+		confirmedAt, now time.Time
+		current          bool
 	}{
 		"before the term": {began.Add(-time.Millisecond), began.Add(time.Second), false},
 		"in the term":     {began.Add(time.Millisecond), began.Add(time.Second), true},
 		"long ago":        {began.Add(time.Millisecond), began.Add(maxViewAge + time.Second), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := &Manager{termStart: began, Proved: func() time.Time { return c.proved }}
+			m := &Manager{termStart: began, Proved: func() time.Time { return c.confirmedAt }}
 			must.Eq(t, c.current, m.viewCurrent(c.now))
 		})
 	}
--- a/internal/formation/order.go
+++ b/internal/formation/order.go
@@ -22,7 +22,7 @@
 	Group    fleet.Key
 	Model    string
 	Members  []string // of a join: ids in rank order; the first is the head
-	Version  uint64   // of a leave: version of the instance's entry that it was decided on
+	Version  uint64   // of a leave: version of the instance's entry on which the decision was based
 	Reason   string   // for the log
 }
 
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -3,6 +3,9 @@
 // record of its own orders only, and returns new orders. Manager runs a planner for each
 // model service on the daemon that holds the lease.
 //
+// A free instance is a spare: the planner has its domain's model loaded to its host (staged) and
+// then to its accelerators (warmed), so that it can soon take the place of a lost member.
+//
 // Safety does not rest on the lease but on the orders themselves: each epoch is higher than
 // all earlier ones, so that an instance that has seen a newer one refuses a late join; an
 // instance joins another group only after it has left its old one; a group opens only after
@@ -31,8 +34,8 @@
 	maxOrderDelay = 13 * time.Second
 )
 
-// forming is a group whose joins this planner has sent and that it has not yet seen open.
-type forming struct {
+// formingGroup is a group whose joins this planner has sent and that it has not yet seen open.
+type formingGroup struct {
 	key          fleet.Key
 	model        routes.Model
 	members      []string
@@ -44,32 +47,32 @@
 // Planner plans the groups of one service. One goroutine owns it.
 type Planner struct {
 	Service    string
-	term       uint64 // of the lease
-	epochsUsed uint64 // in this term
-	started    time.Time
+	term       uint64    // of the lease
+	epochsUsed uint64    // in this term
+	started    time.Time // when the planner was created
 	// inheritedResends are the instances to which the previous planner may have sent joins twice.
 	inheritedResends map[string]bool
 	// MayResend reports whether a join without effect may be sent to an instance again, which
 	// requires that the lease's record lists it. nil: never.
 	MayResend func(instance string) bool
-	// Idle is true until this daemon knows of a request. Loads are fast until then, and those of
-	// a cold service are exempt from the ceiling.
-	Idle bool
+	// BeforeFirstRequest is true until this daemon knows of a request. Loads are fast until
+	// then, and those of a cold service are exempt from the ceiling.
+	BeforeFirstRequest bool
 	// LoadWindow is the period over which loads are limited; 0: no limit.
 	LoadWindow  time.Duration
 	recentLoads []time.Time // start times within LoadWindow, oldest first
 	// loadsStarted counts all loads that this planner started.
 	loadsStarted int
-	forming      map[fleet.Key]*forming
-	sent         map[sentKey]time.Time
-	joins        map[string]sentJoin     // the last join sent, by instance
-	left         map[string]leftGroup    // groups that instances left, until their entries show it
+	forming      map[fleet.Key]*formingGroup
+	lastSent     map[sentKey]time.Time   // when each order was last sent
+	lastJoins    map[string]sentJoin     // the last join sent, by instance
+	leftGroups   map[string]leftGroup    // groups that instances left, until their entries show it
 	resent       map[string]time.Time    // when a join was last sent again, by instance
 	staging      map[string]stagingLoad  // by instance
 	warming      map[fleet.Key]time.Time // deadline of each warm-up, by the spare's group of one
 	lastModel    map[string]string       // model of each instance's last group, as seen or ordered
 	assigned     map[string]string       // model of each domain
-	closing      map[fleet.Key]time.Time // when a group was first asked to close
+	closing      map[fleet.Key]time.Time // when a group was first ordered to close
 	incarnations map[string]int64        // start time of each instance's incarnation, as last seen
 }
 
@@ -79,6 +82,7 @@
 	at    time.Time
 }
 
+// sentKey identifies an order that may be sent more than once.
 type sentKey struct {
 	op       Op
 	instance string
@@ -91,7 +95,7 @@
 // joins twice.
 func NewPlanner(service string, term uint64, inherited map[string]bool, now time.Time) *Planner {
 	return &Planner{Service: service, term: term, inheritedResends: inherited, started: now,
-		forming: map[fleet.Key]*forming{}, sent: map[sentKey]time.Time{}, joins: map[string]sentJoin{}, left: map[string]leftGroup{},
+		forming: map[fleet.Key]*formingGroup{}, lastSent: map[sentKey]time.Time{}, lastJoins: map[string]sentJoin{}, leftGroups: map[string]leftGroup{},
 		resent: map[string]time.Time{}, staging: map[string]stagingLoad{}, warming: map[fleet.Key]time.Time{}, lastModel: map[string]string{}, assigned: map[string]string{}, closing: map[fleet.Key]time.Time{}, incarnations: map[string]int64{}}
 }
 
@@ -143,17 +147,17 @@
 	return keys
 }
 
-// prune drops records of orders that can no longer have an effect, and adopts what the view shows
-// of restarts and loaded models.
+// prune drops records of orders that can no longer have an effect. It also updates the records of
+// incarnations and loaded models from the view.
 func (p *Planner) prune(v *fleet.View, now time.Time) {
-	for key, at := range p.sent {
+	for key, at := range p.lastSent {
 		if now.Sub(at) > maxOrderDelay {
-			delete(p.sent, key)
+			delete(p.lastSent, key)
 		}
 	}
-	for id, j := range p.joins {
+	for id, j := range p.lastJoins {
 		if now.Sub(j.at) > maxOrderDelay {
-			delete(p.joins, id)
+			delete(p.lastJoins, id)
 		}
 	}
 	p.forgetRestarted(v)
@@ -163,9 +167,9 @@
 			delete(p.warming, key)
 		}
 	}
-	for id, l := range p.left {
+	for id, l := range p.leftGroups {
 		if in := v.Instances[id]; in == nil || in.Group.Key() != l.group || in.Version != l.version {
-			delete(p.left, id)
+			delete(p.leftGroups, id)
 		}
 	}
 	for key := range p.closing {
@@ -198,7 +202,7 @@
 		markBusy(g, busy)
 		return p.unlessSentRecently(now, Order{Op: OpOpen, Instance: g.Head.ID, Address: g.Head.Address, Group: g.Key, Reason: "all members ready"})
 	case g.Complete():
-		markBusy(g, busy) // closing; its head becomes ready without an order
+		markBusy(g, busy) // its head is closing and becomes ready without an order
 		return nil
 	case f != nil && p.viable(v, f, now):
 		for _, id := range f.members {
@@ -224,7 +228,7 @@
 // instances elsewhere. Such a group must not open.
 func (p *Planner) hasConflictingJoin(g *fleet.Group, now time.Time) bool {
 	return slices.ContainsFunc(g.Members, func(m *fleet.Instance) bool {
-		j, sent := p.joins[m.ID]
+		j, sent := p.lastJoins[m.ID]
 		return sent && j.group != g.Key && now.Sub(j.at) <= maxOrderDelay
 	})
 }
@@ -253,8 +257,10 @@
 	return p.inheritedResends[id] && now.Sub(p.started) < maxOrderDelay || now.Sub(p.resent[id]) < maxOrderDelay
 }
 
-// viable reports whether a forming group may still become complete.
-func (p *Planner) viable(v *fleet.View, f *forming, now time.Time) bool {
+// viable reports whether a forming group may still become complete: each member is known,
+// stays, and has neither restarted nor joined a newer group nor failed in this one, and the joins
+// are not overdue.
+func (p *Planner) viable(v *fleet.View, f *formingGroup, now time.Time) bool {
 	for i, id := range f.members {
 		in := v.Instances[id]
 		if in == nil || in.Born != f.incarnations[i] || in.Draining || in.Group.Epoch > f.key.Epoch || in.Group.Key() == f.key && in.Group.State == fleet.Broken {
@@ -265,15 +271,15 @@
 }
 
 // expectedJoinTime returns how long the joins of a group should take.
-func (p *Planner) expectedJoinTime(f *forming) time.Duration {
+func (p *Planner) expectedJoinTime(f *formingGroup) time.Duration {
 	if f.loads > 0 {
 		return 2 * f.model.Load // concurrent loads slow each other down
 	}
 	return f.model.Warm
 }
 
-// reconcileForming sends joins without effect again and aborts groups that can no longer
-// become complete.
+// reconcileForming aborts forming groups that can no longer become complete. It marks the members
+// of the others as busy and returns the joins to send again because they had no effect.
 func (p *Planner) reconcileForming(v *fleet.View, busy map[string]bool, now time.Time) []Order {
 	var out []Order
 	keys := make([]fleet.Key, 0, len(p.forming))
@@ -301,7 +307,7 @@
 	return out
 }
 
-func (p *Planner) joinOrder(f *forming, in *fleet.Instance, reason string) Order {
+func (p *Planner) joinOrder(f *formingGroup, in *fleet.Instance, reason string) Order {
 	return Order{Op: OpJoin, Instance: in.ID, Address: in.Address, Group: f.key, Model: f.model.Name, Members: f.members, Reason: reason}
 }
 
@@ -309,12 +315,12 @@
 // resendAfter ago.
 func (p *Planner) unlessSentRecently(now time.Time, o Order) []Order {
 	key := sentKey{o.Op, o.Instance, o.Group, o.Model}
-	if at, ok := p.sent[key]; ok && now.Sub(at) < resendAfter {
+	if at, ok := p.lastSent[key]; ok && now.Sub(at) < resendAfter {
 		return nil
 	}
-	p.sent[key] = now
+	p.lastSent[key] = now
 	if o.Op == OpJoin {
-		p.joins[o.Instance] = sentJoin{o.Group, now}
+		p.lastJoins[o.Instance] = sentJoin{o.Group, now}
 	}
 	return []Order{o}
 }
--- a/internal/formation/plan_cost_test.go
+++ b/internal/formation/plan_cost_test.go
@@ -15,27 +15,27 @@
 func TestPlanCostIsLinearInInstances(t *testing.T) {
 	const few, factor, tolerance = 200, 10, 1.5
 	now := time.Unix(1000, 0)
-	for name, serving := range map[string]int{"at the start": 0, "half serve": 2, "all serve": 1} {
+	for name, servingDivisor := range map[string]int{"at the start": 0, "half serve": 2, "all serve": 1} {
 		t.Run(name, func(t *testing.T) {
-			plan, check := map[int]float64{}, map[int]float64{}
+			planAllocs, checkAllocs := map[int]float64{}, map[int]float64{}
 			for _, instances := range []int{few, few * factor} {
 				engine := simModels()
 				engine.LoadsAtOnce = instances // so that no ceiling ends the plan early
 				table := routes.Compile(&routes.Config{Services: []routes.Service{{Name: simService, Engine: engine}}})
-				part := 0
-				if serving > 0 {
-					part = instances / serving
+				serving := 0
+				if servingDivisor > 0 {
+					serving = instances / servingDivisor
 				}
-				v := benchView(instances, part, engine)
-				plan[instances] = testing.AllocsPerRun(1, func() {
+				v := benchView(instances, serving, engine)
+				planAllocs[instances] = testing.AllocsPerRun(1, func() {
 					p := NewPlanner(simService, 2, nil, now)
-					p.Idle = true
+					p.BeforeFirstRequest = true
 					p.Plan(v, engine, now)
 				})
-				check[instances] = testing.AllocsPerRun(1, func() { hasPendingWork(v, table, now) })
+				checkAllocs[instances] = testing.AllocsPerRun(1, func() { hasPendingWork(v, table, now) })
 			}
-			must.LessEq(t, tolerance*factor*plan[few], plan[few*factor], must.Sprint("a plan"))
-			must.LessEq(t, tolerance*factor*check[few], check[few*factor], must.Sprint("a check for pending work"))
+			must.LessEq(t, tolerance*factor*planAllocs[few], planAllocs[few*factor], must.Sprint("a plan"))
+			must.LessEq(t, tolerance*factor*checkAllocs[few], checkAllocs[few*factor], must.Sprint("a check for pending work"))
 		})
 	}
 }
--- a/internal/formation/plan_state.go
+++ b/internal/formation/plan_state.go
@@ -13,14 +13,14 @@
 // as the plan starts groups and loads, so that the cost of a plan grows with the number of
 // instances and not with instances times new groups.
 type planState struct {
-	planner    *Planner
-	view       *fleet.View
-	engine     *routes.Engine
-	targets    map[string]float64  // of each model, in instances
-	planned    map[string][]string // models of the forming groups of each instance, by id
-	holding    map[string]float64  // instances that hold each model; an instance counts for the first of its models
-	groupCount map[modelDomain]int // complete or forming groups
-	domains    []*freeDomain       // with free instances, sorted by name
+	planner     *Planner
+	view        *fleet.View
+	engine      *routes.Engine
+	targets     map[string]float64  // of each model, in instances
+	planned     map[string][]string // models of the forming groups of each instance, by id
+	holderCount map[string]float64  // instances that hold each model; an instance counts for the first of its models
+	groupCount  map[modelDomain]int // complete or forming groups
+	domains     []*freeDomain       // with free instances, sorted by name
 }
 
 // freeDomain is a domain with free instances.
@@ -37,18 +37,18 @@
 
 // newPlanState computes the counts of a view. busy holds the instances that must not be moved.
 func (p *Planner) newPlanState(v *fleet.View, engine *routes.Engine, busy map[string]bool, now time.Time) *planState {
-	c := &planState{planner: p, view: v, engine: engine, planned: map[string][]string{}, holding: map[string]float64{},
+	s := &planState{planner: p, view: v, engine: engine, planned: map[string][]string{}, holderCount: map[string]float64{},
 		groupCount: map[modelDomain]int{}}
-	free := p.free(v, busy, now)
+	free := p.freeByDomain(v, busy, now)
 	for _, domain := range sortedDomains(free) {
-		c.domains = append(c.domains, &freeDomain{name: domain, free: free[domain]})
+		s.domains = append(s.domains, &freeDomain{name: domain, free: free[domain]})
 	}
 	for _, f := range p.forming {
-		c.addForming(f)
+		s.addForming(f)
 	}
 	for key, g := range v.Groups {
 		if g.Head != nil && p.forming[key] == nil && g.Complete() {
-			c.groupCount[modelDomain{g.Head.Domain, g.Model}]++
+			s.groupCount[modelDomain{g.Head.Domain, g.Model}]++
 		}
 	}
 	total := 0
@@ -57,81 +57,81 @@
 			continue
 		}
 		total++
-		if m, ok := c.countedModel(in); ok {
-			c.holding[m]++
+		if m, ok := s.countedModel(in); ok {
+			s.holderCount[m]++
 		}
 	}
-	c.targets = p.targets(engine, total)
-	return c
+	s.targets = p.targets(engine, total)
+	return s
 }
 
 // addForming counts a forming group.
-func (c *planState) addForming(f *forming) {
-	if in := c.view.Instances[f.members[0]]; in != nil {
-		c.groupCount[modelDomain{in.Domain, f.model.Name}]++
+func (s *planState) addForming(f *formingGroup) {
+	if in := s.view.Instances[f.members[0]]; in != nil {
+		s.groupCount[modelDomain{in.Domain, f.model.Name}]++
 	}
 	for _, id := range f.members {
-		c.planned[id] = append(c.planned[id], f.model.Name)
+		s.planned[id] = append(s.planned[id], f.model.Name)
 	}
 }
 
 // holds reports whether an instance or its host holds a model or was ordered to load it.
-func (c *planState) holds(in *fleet.Instance, model string) bool {
-	return joinCost(in, model) <= costStaged || c.planner.staging[in.ID].model == model || slices.Contains(c.planned[in.ID], model)
+func (s *planState) holds(in *fleet.Instance, model string) bool {
+	return joinCost(in, model) <= costStaged || s.planner.staging[in.ID].model == model || slices.Contains(s.planned[in.ID], model)
 }
 
 // countedModel returns the model for which an instance counts as a holder, if any.
-func (c *planState) countedModel(in *fleet.Instance) (string, bool) {
-	for _, m := range c.engine.Models {
-		if c.holds(in, m.Name) {
+func (s *planState) countedModel(in *fleet.Instance) (string, bool) {
+	for _, m := range s.engine.Models {
+		if s.holds(in, m.Name) {
 			return m.Name, true
 		}
 	}
 	return "", false
 }
 
-// recount applies a change that affects which models the instances hold, and updates holding.
-func (c *planState) recount(instances []*fleet.Instance, change func()) {
+// recount applies a change of which models the instances hold, and updates holderCount.
+func (s *planState) recount(instances []*fleet.Instance, change func()) {
 	for _, in := range instances {
-		if m, ok := c.countedModel(in); ok {
-			c.holding[m]--
+		if m, ok := s.countedModel(in); ok {
+			s.holderCount[m]--
 		}
 	}
 	change()
 	for _, in := range instances {
-		if m, ok := c.countedModel(in); ok {
-			c.holding[m]++
+		if m, ok := s.countedModel(in); ok {
+			s.holderCount[m]++
 		}
 	}
 }
 
 // groupStarted records a group that was started from a candidate.
-func (c *planState) groupStarted(f *forming, o *candidate) {
-	c.recount(o.members, func() { c.addForming(f) })
-	d := o.domain
-	d.free, d.candidates = slices.DeleteFunc(d.free, func(in *fleet.Instance) bool { return slices.Contains(o.members, in) }), nil
+func (s *planState) groupStarted(f *formingGroup, c *candidate) {
+	s.recount(c.members, func() { s.addForming(f) })
+	d := c.domain
+	d.free, d.candidates = slices.DeleteFunc(d.free, func(in *fleet.Instance) bool { return slices.Contains(c.members, in) }), nil
 	if len(d.free) == 0 {
-		c.domains = slices.DeleteFunc(c.domains, func(other *freeDomain) bool { return other == d })
+		s.domains = slices.DeleteFunc(s.domains, func(other *freeDomain) bool { return other == d })
 	}
 }
 
-// deficits returns the deficit of each model. Free instances that hold a model count for it, as
+// deficits returns the deficit of each model. Free instances count as holders of a model too, as
 // they join a group soon or are spares.
-func (c *planState) deficits() map[string]deficit {
-	out := make(map[string]deficit, len(c.targets))
-	for name, target := range c.targets {
-		out[name] = deficit{target: target, missing: target - c.holding[name]}
+func (s *planState) deficits() map[string]deficit {
+	out := make(map[string]deficit, len(s.targets))
+	for name, target := range s.targets {
+		out[name] = deficit{target: target, missing: target - s.holderCount[name]}
 	}
 	return out
 }
 
 // candidates returns the cheapest group of each of a domain's models that fits.
-func (c *planState) candidates(d *freeDomain, models []routes.Model) []*candidate {
+func (s *planState) candidates(d *freeDomain, models []routes.Model) []*candidate {
 	out := make([]*candidate, 0, len(models))
 	for _, m := range models {
-		if o := chooseMembers(m, d.free, c.planner.lastModel); o != nil {
-			o.domain, o.groupsInDomain, o.freeInDomain = d, c.groupCount[modelDomain{d.name, m.Name}], len(d.free)
-			out = append(out, o)
+		if c := chooseMembers(m, d.free, s.planner.lastModel); c != nil {
+			c.domain, c.groupsInDomain, c.freeInDomain = d, s.groupCount[modelDomain{d.name, m.Name}], len(d.free)
+			out = append(out, c)
 		}
 	}
 	return out
@@ -139,20 +139,20 @@
 
 // bestCandidate returns the group to form next, nil if there is none. Groups without loads go
 // first, then those of the model with the largest deficit ratio.
-func (c *planState) bestCandidate(models assignment, cold bool) *candidate {
-	deficits := c.deficits()
+func (s *planState) bestCandidate(models assignment, cold bool) *candidate {
+	deficits := s.deficits()
 	var best *candidate
-	for _, d := range c.domains {
+	for _, d := range s.domains {
 		if d.candidates == nil {
-			d.candidates = c.candidates(d, models[d.name])
+			d.candidates = s.candidates(d, models[d.name])
 		}
-		for _, o := range d.candidates {
-			if o.loads > 0 && !cold {
+		for _, c := range d.candidates {
+			if c.loads > 0 && !cold {
 				continue // members without the model load it to their hosts first
 			}
-			o.deficitRatio = deficits[o.model.Name].ratio()
-			if best == nil || better(o, best) {
-				best = o
+			c.deficitRatio = deficits[c.model.Name].ratio()
+			if best == nil || better(c, best) {
+				best = c
 			}
 		}
 	}
@@ -160,11 +160,11 @@
 }
 
 // mostMissingModel returns the one of a domain's models with the largest deficit ratio.
-func (c *planState) mostMissingModel(models []routes.Model) routes.Model {
+func (s *planState) mostMissingModel(models []routes.Model) routes.Model {
 	if len(models) == 1 {
 		return models[0]
 	}
-	deficits := c.deficits()
+	deficits := s.deficits()
 	return slices.MaxFunc(models, func(a, b routes.Model) int { return cmp.Compare(deficits[a.Name].ratio(), deficits[b.Name].ratio()) })
 }
 
--- a/internal/formation/planner_test.go
+++ b/internal/formation/planner_test.go
@@ -72,8 +72,8 @@
 	must.Eq(t, OpClose, orders[0].Op)
 }
 
-// Once requests arrive, one planner starts at most half of the loads that the ceiling allows, so
-// that two planners together stay within it.
+// Once requests arrive, one planner starts at most half of the loads that the ceiling allows within
+// a window, so that two planners together stay within the ceiling.
 func TestLoadsStayWithinCeiling(t *testing.T) {
 	s := newSim(t, 6, 10)
 	s.engine.LoadsAtOnce = 100
@@ -107,9 +107,9 @@
 const simWindow = 5 * time.Second
 
 // loadStarts runs planners for a while and returns when loads from the weight store started.
-func (s *sim) loadStarts(lasts time.Duration, planner func() *Planner) (starts []time.Time) {
+func (s *sim) loadStarts(duration time.Duration, planner func() *Planner) (starts []time.Time) {
 	const tick = 100 * time.Millisecond
-	for range lasts / tick {
+	for range duration / tick {
 		for _, o := range planner().Plan(s.view(), s.engine, s.now) {
 			if in := s.engines[o.Instance]; o.Op == OpStage || o.Op == OpJoin && !in.in.HasStaged(o.Model) {
 				starts = append(starts, s.now)
@@ -122,7 +122,7 @@
 }
 
 // mostWithin returns the greatest number of the sorted times that lie within one window.
-func mostWithin(times []time.Time, window time.Duration) (most int) {
+func mostWithin(times []time.Time, window time.Duration) (maxCount int) {
 	for i, from := range times {
 		n := 0
 		for _, at := range times[i:] {
@@ -130,13 +130,13 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	return most
+	return maxCount
 }
 
-// A planner that takes over while one join may arrive twice uses all other instances at once.
-// Otherwise, with late orders, 82 of 158 instances were left free for 13 s.
+// A planner that takes over while one instance's join may arrive twice uses all other instances at
+// once. Otherwise, with late orders, 82 of 158 instances were left free for 13 s.
 func TestTakeoverPlansWithAllButResentInstances(t *testing.T) {
 	s := newSim(t, 3, 10)
 	p := NewPlanner(simService, 1, nil, s.now)
@@ -191,7 +191,7 @@
 	s.step(250 * time.Millisecond)
 	s.plan(NewPlanner(simService, 2, nil, s.now), s.view(), delayedBy(8*time.Second))
 	s.step(250 * time.Millisecond)
-	// The third planner may not send them joins until the delayed copies have expired.
+	// The third planner may not send these instances joins until the delayed copies have expired.
 	resent := map[string]bool{"e00": true, "e01": true}
 	s.run(NewPlanner(simService, 3, resent, s.now), 30*time.Second) // the check is in sim.join
 	must.Eq(t, map[string]int{"small": 1}, s.serving())
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -37,14 +37,14 @@
 )
 
 // failureDetector finds the dead member that stalls a group before its entry lapses. It probes
-// groups with stalled streams and members whose entries have lapsed.
+// groups that are suspected, as by stalled streams, and members whose entries have lapsed.
 type failureDetector struct {
 	prober     Prober
 	clock      *steady.Clock
-	run        *steady.RunClock // stands still while this process is not scheduled
+	run        *steady.RunClock // does not advance while this process is not scheduled
 	log        *zap.Logger
 	mu         sync.Mutex
-	lastProbed map[fleet.Key]time.Time
+	lastProbed map[fleet.Key]time.Time   // when probes of a group last started
 	dead       map[incarnation]time.Time // when an instance was last declared dead
 	detected   chan struct{}             // signaled when an instance is first declared dead
 }
@@ -61,115 +61,117 @@
 	return &failureDetector{prober: prober, run: steady.NewRunClock(nil), log: log, lastProbed: map[fleet.Key]time.Time{}, dead: map[incarnation]time.Time{}, detected: make(chan struct{}, 1)}
 }
 
-// probeStalled probes the members of the groups with the given heads and all members whose
-// entries have lapsed. It forgets deaths older than deadTTL.
-func (s *failureDetector) probeStalled(ctx context.Context, v *fleet.View, heads []string, now time.Time) {
+// startProbes starts probes of all members of the groups with the given heads and of members whose
+// entries have lapsed, unless the group was probed less than probeInterval ago. It forgets deaths
+// older than deadTTL.
+func (d *failureDetector) startProbes(ctx context.Context, v *fleet.View, heads []string, now time.Time) {
 	for _, id := range heads {
 		in := v.Instances[id]
-		if in == nil || in.Group.Name == "" || !s.probeDue(in.Group.Key(), now) {
+		if in == nil || in.Group.Name == "" || !d.probeDue(in.Group.Key(), now) {
 			continue
 		}
 		for _, m := range v.Groups[in.Group.Key()].Members {
-			go s.probe(ctx, m)
+			go d.probe(ctx, m)
 		}
 	}
 	for key, g := range v.Groups {
-		if len(g.Lapsed) == 0 || !s.probeDue(key, now) {
+		if len(g.Lapsed) == 0 || !d.probeDue(key, now) {
 			continue
 		}
 		for _, m := range g.Lapsed {
-			go s.probe(ctx, m)
+			go d.probe(ctx, m)
 		}
 	}
-	s.expire(now)
+	d.expire(now)
 }
 
 // probeDue reports whether a group is to be probed now, and records that it is.
-func (s *failureDetector) probeDue(key fleet.Key, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now.Sub(s.lastProbed[key]) < probeInterval {
+func (d *failureDetector) probeDue(key fleet.Key, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now.Sub(d.lastProbed[key]) < probeInterval {
 		return false
 	}
-	s.lastProbed[key] = now
+	d.lastProbed[key] = now
 	return true
 }
 
 // probe probes one member until it answers or is declared dead.
-func (s *failureDetector) probe(ctx context.Context, in *fleet.Instance) {
+func (d *failureDetector) probe(ctx context.Context, in *fleet.Instance) {
 	var err error
 	for failed := 0; failed < failedProbesForDeath; {
-		began, beganRun := s.clock.Now(), s.run.Now()
-		if err = s.probeOnce(ctx, in); err == nil {
-			s.markAlive(in)
+		began, beganRun := d.clock.Now(), d.run.Now()
+		if err = d.probeOnce(ctx, in); err == nil {
+			d.markAlive(in)
 			return
 		}
 		// While this process was not scheduled an answer may have come in time but not been read.
-		notScheduled := s.clock.Since(began) >= probeTimeout && s.run.Now().Sub(beganRun) < probeTimeout-steady.RunClockStep
+		notScheduled := d.clock.Since(began) >= probeTimeout && d.run.Now().Sub(beganRun) < probeTimeout-steady.RunClockStep
 		if !notScheduled || ctx.Err() != nil {
 			failed++
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if _, known := s.dead[incarnationOf(in)]; !known {
-		s.log.Info("instance declared dead", zap.String("instance", in.ID), zap.String("group", in.Group.Name),
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, known := d.dead[incarnationOf(in)]; !known {
+		d.log.Info("instance declared dead", zap.String("instance", in.ID), zap.String("group", in.Group.Name),
 			zap.Uint64("epoch", in.Group.Epoch), zap.Int("probes", failedProbesForDeath), zap.String("error", err.Error()))
 		select {
-		case s.detected <- struct{}{}:
+		case d.detected <- struct{}{}:
 		default: // already signaled
 		}
 	}
-	s.dead[incarnationOf(in)] = s.clock.Now()
+	d.dead[incarnationOf(in)] = d.clock.Now()
 }
 
-func (s *failureDetector) probeOnce(ctx context.Context, in *fleet.Instance) error {
+func (d *failureDetector) probeOnce(ctx context.Context, in *fleet.Instance) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return s.prober.Probe(ctx, in)
+	return d.prober.Probe(ctx, in)
 }
 
-func (s *failureDetector) markAlive(in *fleet.Instance) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if _, known := s.dead[incarnationOf(in)]; known {
-		delete(s.dead, incarnationOf(in))
-		s.log.Info("instance answers again", zap.String("instance", in.ID))
+func (d *failureDetector) markAlive(in *fleet.Instance) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, known := d.dead[incarnationOf(in)]; known {
+		delete(d.dead, incarnationOf(in))
+		d.log.Info("instance answers again", zap.String("instance", in.ID))
 	}
 }
 
-func (s *failureDetector) expire(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for one, at := range s.dead {
+func (d *failureDetector) expire(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for dead, at := range d.dead {
 		if now.Sub(at) > deadTTL {
-			delete(s.dead, one)
+			delete(d.dead, dead)
 		}
 	}
-	for key, at := range s.lastProbed {
+	for key, at := range d.lastProbed {
 		if now.Sub(at) > deadTTL {
-			delete(s.lastProbed, key)
+			delete(d.lastProbed, key)
 		}
 	}
 }
 
-// excludeDead returns the view without the instances that count as dead.
-func (s *failureDetector) excludeDead(v *fleet.View, size fleet.SizeOf) *fleet.View {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.dead) == 0 {
+// excludeDead returns the view without the instances that count as dead, also as lapsed members of
+// their groups.
+func (d *failureDetector) excludeDead(v *fleet.View, size fleet.SizeOf) *fleet.View {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.dead) == 0 {
 		return v
 	}
 	living := make(map[string]*fleet.Instance, len(v.Instances))
-	removed := make(map[string]fleet.Gone, len(v.Removed)+len(s.dead))
+	removed := make(map[string]fleet.Gone, len(v.Removed)+len(d.dead))
 	for id, gone := range v.Removed {
-		if _, ok := s.dead[incarnationOf(gone.Instance)]; ok {
+		if _, ok := d.dead[incarnationOf(gone.Instance)]; ok {
 			gone.Lapsed, gone.Leads = false, false
 		}
 		removed[id] = gone
 	}
 	for id, in := range v.Instances {
-		if at, ok := s.dead[incarnationOf(in)]; ok {
+		if at, ok := d.dead[incarnationOf(in)]; ok {
 			removed[id] = fleet.Gone{Instance: in, At: at}
 		} else {
 			living[id] = in
--- a/internal/formation/probe_test.go
+++ b/internal/formation/probe_test.go
@@ -23,34 +23,35 @@
 // Guards against a planner that learns of a dead member only at its next tick, up to a quarter of
 // a second later, while the group is stalled.
 func TestDeathIsSignaledOnce(t *testing.T) {
-	s := newFailureDetector(silentProber{}, zap.NewNop())
-	s.clock = steady.NewClock()
+	d := newFailureDetector(silentProber{}, zap.NewNop())
+	d.clock = steady.NewClock()
 	in := &fleet.Instance{ID: "i"}
-	s.probe(t.Context(), in)
+	d.probe(t.Context(), in)
 	select {
-	case <-s.detected:
+	case <-d.detected:
 	default:
 		t.Fatal("not signalled")
 	}
-	s.probe(t.Context(), in)
-	must.Eq(t, 0, len(s.detected), must.Sprint("already known"))
+	d.probe(t.Context(), in)
+	must.Eq(t, 0, len(d.detected), must.Sprint("already known"))
 }
 
-// unscheduledProber simulates a process that is not scheduled during the first calls.
+// unscheduledProber simulates a process that is not scheduled during the first calls: each adds a
+// second to unscheduled, in nanoseconds.
 type unscheduledProber struct {
-	stalled      *atomic.Int64
-	asked        int
-	stalledCalls int // number of calls during which the process is not scheduled
-	answersFrom  int // number of the first call that is answered; 0: none
+	unscheduled      *atomic.Int64
+	calls            int
+	unscheduledCalls int // number of calls during which the process is not scheduled
+	answersFrom      int // number of the first call that is answered; 0: none
 }
 
 func (p *unscheduledProber) Probe(ctx context.Context, _ *fleet.Instance) error {
-	p.asked++
-	if p.asked <= p.stalledCalls {
-		p.stalled.Add(int64(time.Second)) // all timers are due afterwards
+	p.calls++
+	if p.calls <= p.unscheduledCalls {
+		p.unscheduled.Add(int64(time.Second)) // all timers are due afterwards
 		return context.DeadlineExceeded
 	}
-	if p.answersFrom > 0 && p.asked >= p.answersFrom {
+	if p.answersFrom > 0 && p.calls >= p.answersFrom {
 		return nil
 	}
 	<-ctx.Done()
@@ -61,8 +62,8 @@
 // read their answers too late.
 func TestMemberIsNotDeclaredDeadWhileProberIsNotScheduled(t *testing.T) {
 	for name, c := range map[string]struct {
-		stalledCalls, answersFrom, asked int
-		dead                             bool
+		unscheduledCalls, answersFrom, calls int
+		dead                                 bool
 	}{
 		"not scheduled twice, then answered": {2, 3, 3, false},
 		"not scheduled twice, no answer":     {2, 0, 4, true},
@@ -70,20 +71,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var stalled atomic.Int64
+				var unscheduled atomic.Int64
 				start := time.Now()
-				steadily := func() time.Duration { return time.Since(start) + time.Duration(stalled.Load()) }
-				clock := steady.NewClockOf(func() (time.Time, time.Duration) { return start.Round(0).Add(steadily()), steadily() }, steadily)
-				p := &unscheduledProber{stalled: &stalled, stalledCalls: c.stalledCalls, answersFrom: c.answersFrom}
-				s := newFailureDetector(p, zap.NewNop())
-				s.clock, s.run = clock, steady.NewRunClock(clock)
+				elapsed := func() time.Duration { return time.Since(start) + time.Duration(unscheduled.Load()) }
+				clock := steady.NewClockOf(func() (time.Time, time.Duration) { return start.Round(0).Add(elapsed()), elapsed() }, elapsed)
+				p := &unscheduledProber{unscheduled: &unscheduled, unscheduledCalls: c.unscheduledCalls, answersFrom: c.answersFrom}
+				d := newFailureDetector(p, zap.NewNop())
+				d.clock, d.run = clock, steady.NewRunClock(clock)
 				ctx, end := context.WithCancel(t.Context())
 				defer end()
-				go s.run.Run(ctx)
+				go d.run.Run(ctx)
 				time.Sleep(time.Second)
-				s.probe(ctx, &fleet.Instance{ID: "i"})
-				must.Eq(t, c.asked, p.asked)
-				must.Eq(t, c.dead, len(s.dead) == 1)
+				d.probe(ctx, &fleet.Instance{ID: "i"})
+				must.Eq(t, c.calls, p.calls)
+				must.Eq(t, c.dead, len(d.dead) == 1)
 			})
 		})
 	}
--- a/internal/formation/simulation_test.go
+++ b/internal/formation/simulation_test.go
@@ -12,12 +12,12 @@
 type simEngine struct {
 	in        fleet.Instance
 	alive     bool
-	cutOff    bool // alive, but its entry is missing
-	lastEpoch uint64
+	cutOff    bool   // alive, but its entry is missing
+	lastEpoch uint64 // of the last join that it took
 	members   map[fleet.Key][]string
-	loaded    time.Time // when its join completes
-	staging   string
-	staged    time.Time
+	joinsAt   time.Time // when its load for a join completes
+	staging   string    // model that its host loads; empty: none
+	stagedAt  time.Time // when its load of staging completes
 }
 
 // sim simulates engines that carry out orders, some of them late.
@@ -29,7 +29,7 @@
 	delayed  []delayedOrder
 	engine   *routes.Engine
 	wasReady map[fleet.Key]map[string]bool // members that were ready in a group at some time
-	opened   int
+	opened   int                           // number of times that a group opened
 }
 
 type failer interface{ Fatalf(string, ...any) }
@@ -117,7 +117,7 @@
 		return s.join(e, o)
 	case OpStage:
 		m, _ := s.engine.Model(o.Model)
-		e.staging, e.staged = o.Model, s.now.Add(m.Load)
+		e.staging, e.stagedAt = o.Model, s.now.Add(m.Load)
 		return true
 	}
 	if e.in.Group.Key() != o.Group {
@@ -146,7 +146,7 @@
 	if e.in.Group.Key() == o.Group {
 		return true
 	}
-	s.checkLeaves(e)
+	s.checkOldGroupClosed(e)
 	rank := -1
 	for i, id := range o.Members {
 		if id == e.in.ID {
@@ -161,15 +161,15 @@
 	case e.in.HasStaged(o.Model):
 		wait = m.Warm
 	}
-	e.lastEpoch, e.members[o.Group], e.loaded = o.Group.Epoch, o.Members, s.now.Add(wait)
+	e.lastEpoch, e.members[o.Group], e.joinsAt = o.Group.Epoch, o.Members, s.now.Add(wait)
 	e.setMembership(fleet.Membership{Name: o.Group.Name, Epoch: o.Group.Epoch, Rank: rank, State: fleet.Joining})
 	e.in.Models = []string{o.Model}
 	return true
 }
 
-// checkLeaves fails if the engine's current group is open at its head: it must not join another
-// group then.
-func (s *sim) checkLeaves(e *simEngine) {
+// checkOldGroupClosed fails if the head of the engine's current group is open: the engine must not
+// join another group then.
+func (s *sim) checkOldGroupClosed(e *simEngine) {
 	old := e.in.Group.Key()
 	if old.Name == "" {
 		return
@@ -201,7 +201,7 @@
 func (s *sim) step(d time.Duration) {
 	s.now = s.now.Add(d)
 	for _, e := range s.engines {
-		if e.in.Group.State == fleet.Joining && !s.now.Before(e.loaded) {
+		if e.in.Group.State == fleet.Joining && !s.now.Before(e.joinsAt) {
 			e.setGroupState(fleet.Ready)
 			e.in.Staged = []string{e.in.Models[0]}
 			if s.wasReady[e.in.Group.Key()] == nil {
@@ -209,19 +209,19 @@
 			}
 			s.wasReady[e.in.Group.Key()][e.in.ID] = true
 		}
-		if e.staging != "" && !s.now.Before(e.staged) {
+		if e.staging != "" && !s.now.Before(e.stagedAt) {
 			e.in.Staged, e.staging = []string{e.staging}, ""
 		}
 	}
-	var rest []delayedOrder
+	var remaining []delayedOrder
 	for _, l := range s.delayed {
 		if s.now.Before(l.at) {
-			rest = append(rest, l)
+			remaining = append(remaining, l)
 		} else {
 			s.apply(l.order)
 		}
 	}
-	s.delayed = rest
+	s.delayed = remaining
 }
 
 // plan runs a planner once on a view and carries out its orders. delivery decides which of them
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -16,19 +16,19 @@
 	timeout time.Duration
 }
 
-// spareDelay is how long after its start a planner neither stages nor warms models on spares:
+// spareDelay is how long after its creation a planner neither stages nor warms models on spares:
 // some entries may not have arrived yet, and forming groups need the weight store first.
 const spareDelay = 2 * time.Second
 
 // stageSpares orders a load of the domain's model to the host of each free instance that holds
 // none of the domain's models, so that it can join a group without a load. The model with the
 // largest deficit ratio goes first.
-func (p *Planner) stageSpares(c *planState, models assignment, cold bool, loading int, now time.Time) []Order {
+func (p *Planner) stageSpares(state *planState, models assignment, cold bool, inFlight int, now time.Time) []Order {
 	if now.Sub(p.started) < spareDelay {
 		return nil
 	}
-	deficits := c.deficits()
-	domains := slices.Clone(c.domains)
+	deficits := state.deficits()
+	domains := slices.Clone(state.domains)
 	slices.SortStableFunc(domains, func(a, b *freeDomain) int {
 		return cmp.Compare(deficits[models[b.name][0].Name].ratio(), deficits[models[a.name][0].Name].ratio())
 	})
@@ -38,13 +38,13 @@
 			if p.staging[in.ID].model != "" || holdsAny(in, models[d.name]) {
 				continue
 			}
-			if !p.mayLoad(c.engine, cold, loading, 1, now) {
+			if !p.mayLoad(state.engine, cold, inFlight, 1, now) {
 				return out
 			}
-			m := c.mostMissingModel(models[d.name])
-			loading++
+			m := state.mostMissingModel(models[d.name])
+			inFlight++
 			p.recordLoads(1, now)
-			c.recount([]*fleet.Instance{in}, func() {
+			state.recount([]*fleet.Instance{in}, func() {
 				p.staging[in.ID] = stagingLoad{model: m.Name, since: now, timeout: 2*m.Load + formGrace}
 			})
 			out = append(out, Order{Op: OpStage, Instance: in.ID, Address: in.Address, Model: m.Name, Reason: "a free instance is missing its domain's model"})
--- a/internal/formation/summary.go
+++ b/internal/formation/summary.go
@@ -7,7 +7,8 @@
 	"pearlanding/internal/routes"
 )
 
-// summary counts what a planner sees. It is comparable, so that only changes are logged.
+// summary counts the instances and groups that a planner sees. It is comparable, so that only
+// changes are logged.
 type summary struct {
 	service   string
 	instances int
--- a/internal/formation/warm.go
+++ b/internal/formation/warm.go
@@ -10,8 +10,8 @@
 // warmGrace is how long a warm-up may take beyond the model's warm start.
 const warmGrace = 2 * time.Second
 
-// warmSpares makes each spare whose host holds its domain's model load it to its accelerators:
-// the spare joins a group of one that never opens, and leaves it as soon as it is ready. When
+// warmSpares makes each spare whose host holds its domain's model load it to its accelerators,
+// once: the spare joins a group of one that never opens, and leaves it as soon as it is ready. When
 // another group loses a member, the spare can then join as quickly as the remaining members,
 // without the model's warm start.
 func (p *Planner) warmSpares(models assignment, domains []*freeDomain, busy map[string]bool, now time.Time) []Order {
@@ -25,7 +25,7 @@
 			if !staged || m.Size < 2 || p.staging[in.ID].model != "" || p.lastModel[in.ID] == m.Name {
 				continue
 			}
-			p.lastModel[in.ID] = m.Name // once only: an entry lists a loaded model only while in a group
+			p.lastModel[in.ID] = m.Name // recorded now, as the entry lists a loaded model only while the instance is in a group
 			epoch := p.nextEpoch()
 			key := fleet.Key{Name: groupName(warmGroupPrefix, epoch), Epoch: epoch}
 			p.warming[key] = now.Add(m.Warm + warmGrace)
