--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Kind determines how often a request of a route may run and how it is answered.
+// Kind determines whether a request of a route may run more than once and how it is answered.
 type Kind string
 
 // Kinds of routes.
@@ -53,7 +53,8 @@
 }
 
 // Service returns the service for a request id according to the weights of the split. The same id
-// always gets the same service. It is empty if a split route has no positive weight.
+// always gets the same service. The result is empty if the split has several services and no
+// positive weight.
 func (r *Route) Service(requestID string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
@@ -88,15 +89,15 @@
 
 // Engine describes the instances of a model service.
 type Engine struct {
-	Slots          int
+	Slots          int // requests that a replica runs at the same time
 	Models         []Model
-	LoadsPerSecond float64
-	LoadsAtOnce    int
-	Step           time.Duration // time of one token for all requests in progress
+	LoadsPerSecond float64       // limit on loads from the weight store; 0: unlimited
+	LoadsAtOnce    int           // loads that the weight store serves at the same time
+	Step           time.Duration // time of one step, which generates a token for each request in progress
 	PerRequest     time.Duration // added to a step for each request in progress
 	ReadPerSecond  float64       // prompt tokens per second; 0: unknown
-	Chunk          int           // most prompt tokens of one step
-	Stride         int           // steps of one pass
+	Chunk          int           // most prompt tokens that one step reads
+	Stride         int           // number of steps in one pass; streams get events only between passes
 	UsualPrompt    int           // mean tokens of a prompt
 	UsualAnswer    int           // mean tokens of an answer
 }
@@ -129,7 +130,7 @@
 	Engine   *Engine
 }
 
-// Limits bounds the sizes and timeouts of client connections.
+// Limits bounds the sizes of client requests and how long client connections may take.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -56,7 +56,7 @@
 	must.Eq(t, "", (&Route{Split: []Share{{"a", 0}, {"b", 0}}}).Service("x"))
 }
 
-func TestRepeatable(t *testing.T) {
+func TestRequestsThatMayRunMoreThanOnce(t *testing.T) {
 	must.True(t, (&Route{Kind: Idempotent}).Repeatable())
 	must.True(t, (&Route{Kind: Stream, Resumable: true}).Repeatable())
 	must.False(t, (&Route{Kind: Stream}).Repeatable())
