--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -12,163 +12,166 @@
 	"pearlanding/internal/steady"
 )
 
-// ErrAnotherLife: the instance that answers has the id, but started after the one asked
-// for had ended.
-const ErrAnotherLife = errors.ConstError("formation: another life answers under the id")
+// ErrAnotherLife means that a later incarnation of the instance answers under its id.
+const ErrAnotherLife = errors.ConstError("formation: another incarnation answers under the instance id")
 
-// Prober asks instances whether they live.
+// Prober checks whether instances are alive.
 type Prober interface {
-	// Probe returns nil if the instance answered as itself, in the life that is meant.
+	// Probe returns nil if the instance answered in the incarnation of in. It returns
+	// ErrAnotherLife if a later incarnation answered.
 	Probe(ctx context.Context, in *fleet.Instance) error
 }
 
-// Times of the search for dead members.
+// Timing of the detection of dead members.
 const (
-	// probeTimeout is far above an answer's time (some milliseconds, more on a
-	// slowed machine) and far below the three heartbeats an entry takes to lapse.
+	// probeTimeout is far above the time of an answer (some milliseconds, more on a slow
+	// machine) and far below the three heartbeats after which an entry lapses.
 	probeTimeout = 250 * time.Millisecond
-	// probeEvery bounds how often the members of a group that stands still are asked.
-	probeEvery = 600 * time.Millisecond
-	// deadFor is how long an instance that did not answer counts as dead. By then
-	// its entry lapses, or it lives after all.
-	deadFor = 6 * time.Second
-	// probesToDie is how many probes in a row must fail: a single packet may be lost.
-	probesToDie = 2
+	// probeInterval is the least time between two probes of the same group.
+	probeInterval = 600 * time.Millisecond
+	// deadTTL is how long an instance that did not answer counts as dead. Within that time
+	// its entry lapses, unless the instance is alive after all.
+	deadTTL = 6 * time.Second
+	// failedProbesForDeath is how many probes in a row must fail, as a single packet may be lost.
+	failedProbesForDeath = 2
 )
 
-// search finds the member that makes a group stand still, before its entry
-// lapses. Only groups whose running streams stand still are looked at.
-type search struct {
-	prober Prober
-	clock  *steady.Clock
-	run    *steady.RunClock // by which an instance is silent
-	log    *zap.Logger
-	mu     sync.Mutex
-	asked  map[fleet.Key]time.Time
-	dead   map[life]time.Time // since when an instance counts as dead
-	found  chan struct{}      // signalled when an instance is first taken for dead
+// failureDetector finds the dead member that stalls a group before its entry lapses. It probes
+// groups that are suspected, as by stalled streams, and members whose entries have lapsed.
+type failureDetector struct {
+	prober     Prober
+	clock      *steady.Clock
+	run        *steady.RunClock // does not advance while this process is not scheduled
+	log        *zap.Logger
+	mu         sync.Mutex
+	lastProbed map[fleet.Key]time.Time   // when probes of a group last started
+	dead       map[incarnation]time.Time // when an instance was last declared dead
+	detected   chan struct{}             // signaled when an instance is first declared dead
 }
 
-// life is one life of an instance's id.
-type life struct {
-	id   string
-	born int64
+// incarnation is one run of an instance under its id.
+type incarnation struct {
+	id        string
+	startedAt int64
 }
 
-func lifeOf(in *fleet.Instance) life { return life{in.ID, in.Born} }
+func incarnationOf(in *fleet.Instance) incarnation { return incarnation{in.ID, in.Born} }
 
-func newSearch(prober Prober, log *zap.Logger) *search {
-	return &search{prober: prober, run: steady.NewRunClock(nil), log: log, asked: map[fleet.Key]time.Time{}, dead: map[life]time.Time{}, found: make(chan struct{}, 1)}
+func newFailureDetector(prober Prober, log *zap.Logger) *failureDetector {
+	return &failureDetector{prober: prober, run: steady.NewRunClock(nil), log: log, lastProbed: map[fleet.Key]time.Time{}, dead: map[incarnation]time.Time{}, detected: make(chan struct{}, 1)}
 }
 
-// look probes the members of the groups led by the given heads, and the members whose
-// entries lapsed.
-func (s *search) look(ctx context.Context, v *fleet.View, heads []string, now time.Time) {
+// startProbes starts probes of all members of the groups with the given heads and of members whose
+// entries have lapsed, unless the group was probed less than probeInterval ago. It forgets deaths
+// older than deadTTL.
+func (d *failureDetector) startProbes(ctx context.Context, v *fleet.View, heads []string, now time.Time) {
 	for _, id := range heads {
 		in := v.Instances[id]
-		if in == nil || in.Group.Name == "" || !s.due(in.Group.Key(), now) {
+		if in == nil || in.Group.Name == "" || !d.probeDue(in.Group.Key(), now) {
 			continue
 		}
 		for _, m := range v.Groups[in.Group.Key()].Members {
-			go s.probe(ctx, m)
+			go d.probe(ctx, m)
 		}
 	}
 	for key, g := range v.Groups {
-		if len(g.Lapsed) == 0 || !s.due(key, now) {
+		if len(g.Lapsed) == 0 || !d.probeDue(key, now) {
 			continue
 		}
 		for _, m := range g.Lapsed {
-			go s.probe(ctx, m)
+			go d.probe(ctx, m)
 		}
 	}
-	s.expire(now)
+	d.expire(now)
 }
 
-func (s *search) due(key fleet.Key, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now.Sub(s.asked[key]) < probeEvery {
+// probeDue reports whether a group is to be probed now, and records that it is.
+func (d *failureDetector) probeDue(key fleet.Key, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now.Sub(d.lastProbed[key]) < probeInterval {
 		return false
 	}
-	s.asked[key] = now
+	d.lastProbed[key] = now
 	return true
 }
 
-// probe asks one member, again if there was no answer.
-func (s *search) probe(ctx context.Context, in *fleet.Instance) {
+// probe probes one member until it answers or is declared dead.
+func (d *failureDetector) probe(ctx context.Context, in *fleet.Instance) {
 	var err error
-	for failed := 0; failed < probesToDie; {
-		began, ran := s.clock.Now(), s.run.Now()
-		if err = s.try(ctx, in); err == nil {
-			s.lives(in)
+	for failed := 0; failed < failedProbesForDeath; {
+		began, beganRun := d.clock.Now(), d.run.Now()
+		if err = d.probeOnce(ctx, in); err == nil {
+			d.markAlive(in)
 			return
 		}
-		// An answer may have come in time that this process did not read, as it was not scheduled.
-		unheard := s.clock.Since(began) >= probeTimeout && s.run.Now().Sub(ran) < probeTimeout-steady.RunClockStep
-		if !unheard || ctx.Err() != nil {
+		// While this process was not scheduled an answer may have come in time but not been read.
+		notScheduled := d.clock.Since(began) >= probeTimeout && d.run.Now().Sub(beganRun) < probeTimeout-steady.RunClockStep
+		if !notScheduled || ctx.Err() != nil {
 			failed++
 		}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if _, known := s.dead[lifeOf(in)]; !known {
-		s.log.Info("instance taken for dead", zap.String("instance", in.ID), zap.String("group", in.Group.Name),
-			zap.Uint64("epoch", in.Group.Epoch), zap.Int("probes", probesToDie), zap.String("error", err.Error()))
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, known := d.dead[incarnationOf(in)]; !known {
+		d.log.Info("instance declared dead", zap.String("instance", in.ID), zap.String("group", in.Group.Name),
+			zap.Uint64("epoch", in.Group.Epoch), zap.Int("probes", failedProbesForDeath), zap.String("error", err.Error()))
 		select {
-		case s.found <- struct{}{}:
-		default: // signalled already
+		case d.detected <- struct{}{}:
+		default: // already signaled
 		}
 	}
-	s.dead[lifeOf(in)] = s.clock.Now()
+	d.dead[incarnationOf(in)] = d.clock.Now()
 }
 
-func (s *search) try(ctx context.Context, in *fleet.Instance) error {
+func (d *failureDetector) probeOnce(ctx context.Context, in *fleet.Instance) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return s.prober.Probe(ctx, in)
+	return d.prober.Probe(ctx, in)
 }
 
-func (s *search) lives(in *fleet.Instance) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if _, known := s.dead[lifeOf(in)]; known {
-		delete(s.dead, lifeOf(in))
-		s.log.Info("instance answers again", zap.String("instance", in.ID))
+func (d *failureDetector) markAlive(in *fleet.Instance) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, known := d.dead[incarnationOf(in)]; known {
+		delete(d.dead, incarnationOf(in))
+		d.log.Info("instance answers again", zap.String("instance", in.ID))
 	}
 }
 
-func (s *search) expire(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for one, at := range s.dead {
-		if now.Sub(at) > deadFor {
-			delete(s.dead, one)
+func (d *failureDetector) expire(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for dead, at := range d.dead {
+		if now.Sub(at) > deadTTL {
+			delete(d.dead, dead)
 		}
 	}
-	for key, at := range s.asked {
-		if now.Sub(at) > deadFor {
-			delete(s.asked, key)
+	for key, at := range d.lastProbed {
+		if now.Sub(at) > deadTTL {
+			delete(d.lastProbed, key)
 		}
 	}
 }
 
-// without returns the view without the instances that count as dead.
-func (s *search) without(v *fleet.View, size fleet.SizeOf) *fleet.View {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.dead) == 0 {
+// excludeDead returns the view without the instances that count as dead, also as lapsed members of
+// their groups.
+func (d *failureDetector) excludeDead(v *fleet.View, size fleet.SizeOf) *fleet.View {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.dead) == 0 {
 		return v
 	}
 	living := make(map[string]*fleet.Instance, len(v.Instances))
-	removed := make(map[string]fleet.Gone, len(v.Removed)+len(s.dead))
+	removed := make(map[string]fleet.Gone, len(v.Removed)+len(d.dead))
 	for id, gone := range v.Removed {
-		if _, ok := s.dead[lifeOf(gone.Instance)]; ok {
+		if _, ok := d.dead[incarnationOf(gone.Instance)]; ok {
 			gone.Lapsed, gone.Leads = false, false
 		}
 		removed[id] = gone
 	}
 	for id, in := range v.Instances {
-		if at, ok := s.dead[lifeOf(in)]; ok {
+		if at, ok := d.dead[incarnationOf(in)]; ok {
 			removed[id] = fleet.Gone{Instance: in, At: at}
 		} else {
 			living[id] = in
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -43,7 +43,7 @@
 	must.Eq(t, 0, table.ModelSize("none", "m"))
 }
 
-func TestSplitFollowsWeightsAndStays(t *testing.T) {
+func TestSplitFollowsWeightsAndIsStable(t *testing.T) {
 	r := Route{Split: []Share{{"a", 90}, {"b", 10}, {"c", 0}}}
 	count := map[string]int{}
 	for i := range 10000 {
@@ -56,7 +56,7 @@
 	must.Eq(t, "", (&Route{Split: []Share{{"a", 0}, {"b", 0}}}).Service("x"))
 }
 
-func TestRepeatable(t *testing.T) {
+func TestRequestsThatMayRunMoreThanOnce(t *testing.T) {
 	must.True(t, (&Route{Kind: Idempotent}).Repeatable())
 	must.True(t, (&Route{Kind: Stream, Resumable: true}).Repeatable())
 	must.False(t, (&Route{Kind: Stream}).Repeatable())
