--- a/internal/control/pack.go
+++ b/internal/control/pack.go
@@ -67,7 +67,7 @@
 	var out []cluster.EvidenceReport
 	for id := range d.Groups {
 		e, known := evidence[id]
-		if !known || len(e.Lost) == 0 && len(e.Leaving) == 0 && !e.Over {
+		if !known || len(e.Lost) == 0 && len(e.Leaving) == 0 && !e.Ended {
 			continue
 		}
 		age := int64(-1)
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -149,7 +149,7 @@
 		for _, id := range c.Domain.GroupIDs() {
 			g := c.Domain.Groups[id]
 			e, known := s.evidence[id]
-			if g.State != group.StateServing || !known || e.Epoch != g.Epoch || e.Over || len(e.Leaving) > 0 || c.Domain.Departing(g) {
+			if g.State != group.StateServing || !known || e.Epoch != g.Epoch || e.Ended || len(e.Leaving) > 0 || c.Domain.Departing(g) {
 				continue
 			}
 			out[g.Pool] = append(out[g.Pool], s.target(c.Domain, g, e, old[id]))
@@ -162,7 +162,7 @@
 	t := &router.Target{
 		Group: g.ID, Pool: g.Pool, Epoch: g.Epoch, Place: d.Place, Domain: d.Name, Address: g.Members[0].Address,
 		Ready: e.Ready, Running: e.Running, Queued: e.Queued, Slots: e.Slots,
-		Since: s.servingAt[group.SinceKey(g)], Sent: new(atomic.Int64),
+		Since: s.servingAt[group.StateKey(g)], Sent: new(atomic.Int64),
 	}
 	if old != nil && old.Epoch == t.Epoch && old.Ready.Equal(t.Ready) {
 		t.Sent = old.Sent
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -186,7 +186,7 @@
 	}
 	s.domains[name] = c
 	for id, g := range c.Domain.Groups {
-		key := group.SinceKey(g)
+		key := group.StateKey(g)
 		if _, seen := s.servingAt[key]; !seen && g.State == group.StateServing {
 			s.servingAt[key] = now
 		}
@@ -226,10 +226,10 @@
 	if known && old.Epoch > e.Epoch {
 		return
 	}
-	if known && old.Epoch == e.Epoch && old.Over {
+	if known && old.Epoch == e.Epoch && old.Ended {
 		return
 	}
-	if known && old.Epoch == e.Epoch && !e.Over && e.Ready.Before(old.Ready) && learned.Sub(old.Ready) < s.cfg.EvidenceAge {
+	if known && old.Epoch == e.Epoch && !e.Ended && e.Ready.Before(old.Ready) && learned.Sub(old.Ready) < s.cfg.EvidenceAge {
 		old.Leaving = unionStrings(old.Leaving, e.Leaving)
 		s.evidence[e.Group] = old
 		return
@@ -249,7 +249,7 @@
 	for _, c := range s.domains {
 		for id, g := range c.Domain.Groups {
 			groups[id] = true
-			serving[group.SinceKey(g)] = true
+			serving[group.StateKey(g)] = true
 		}
 	}
 	for id := range s.evidence {
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -62,9 +62,9 @@
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Lost: []string{"vm"}}, now.Add(2*time.Second))
 	must.Eq(t, []string{"vm"}, s.evidence["g"].Lost)
 	// The end of an epoch is final, and an older epoch says nothing.
-	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Over: true, Lost: []string{"vm"}}, now)
+	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Ended: true, Lost: []string{"vm"}}, now)
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Ready: now.Add(time.Hour)}, now)
-	must.True(t, s.evidence["g"].Over)
+	must.True(t, s.evidence["g"].Ended)
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 2, Ready: now.Add(time.Hour)}, now)
 	must.Eq(t, uint64(3), s.evidence["g"].Epoch)
 }
--- a/internal/group/domain.go
+++ b/internal/group/domain.go
@@ -1,7 +1,7 @@
 // Package group forms, repairs and retires groups of VMs that together run one
-// model replica. All groups of a fabric domain live in one platform object, so
-// that every lasting step is one conditional update and "no VM in two groups" is
-// a check inside it. Planning is a pure function; Manager does the I/O.
+// model replica. All groups of a fabric domain are stored in one platform object,
+// so each change is one conditional update and "no VM in two groups" is validated
+// within that object. Plan is a pure function; the reconcilers do the I/O.
 package group
 
 import (
@@ -14,44 +14,45 @@
 	"pearlanding/internal/engine"
 )
 
-// KeyPrefix is where domain objects live on the platform.
+// KeyPrefix is the prefix of the platform keys of domain objects.
 const KeyPrefix = "domain/"
 
-// Key is the platform key of a fabric domain's object.
+// Key returns the platform key of a fabric domain's object.
 func Key(domain string) string { return KeyPrefix + domain }
 
-// Intent is what an operator wants of a VM.
+// Intent is the operator's request for a VM.
 type Intent string
 
-// Intents.
+// Values of Intent.
 const (
 	IntentNone  Intent = ""
-	IntentDrain Intent = "drain" // finish what it has, take nothing new
-	IntentStop  Intent = "stop"  // drain, then stay out for good
+	IntentDrain Intent = "drain" // finish running requests, accept no new ones
+	IntentStop  Intent = "stop"  // drain, then never use the VM again
 )
 
-// VMRecord is a VM as the domain object knows it.
+// VMRecord is the stored record of a VM in a domain object.
 type VMRecord struct {
 	Address      string `json:"address"`
 	Accelerators int    `json:"accelerators"`
 	Intent       Intent `json:"intent,omitempty"`
-	// Leaving is what the platform's list said last.
+	// Leaving is set if the platform's latest VM list shows the VM as leaving.
 	Leaving bool `json:"leaving,omitempty"`
-	// Gone: the list no longer has the VM, but a group still names it.
+	// Gone is set if the platform no longer lists the VM but a group or an
+	// operator's intent still refers to it.
 	Gone bool `json:"gone,omitempty"`
 }
 
-// departing tells whether the VM must not get new work.
+// departing reports whether the VM must not get new work.
 func (v VMRecord) departing() bool { return v.Intent != IntentNone || v.Leaving || v.Gone }
 
-// Member is one VM of a group. BootID is set when the group begins to serve.
+// Member is one VM of a group. BootID is recorded when the group starts serving.
 type Member struct {
 	VM      string `json:"vm"`
 	Address string `json:"address"`
 	BootID  string `json:"boot_id,omitempty"`
 }
 
-// Group is one epoch of one replica.
+// Group is one epoch of one model replica.
 type Group struct {
 	ID       string         `json:"id"`
 	Pool     string         `json:"pool"`
@@ -59,14 +60,14 @@
 	WeightMB int            `json:"weight_mb"`
 	Epoch    uint64         `json:"epoch"`
 	State    State          `json:"state"`
-	Reason   string         `json:"reason,omitempty"` // why it does not serve
-	Members  []Member       `json:"members"`          // by rank
-	// Stuck: the domain has no VM to complete the group with, so that other
-	// domains may form one in its stead.
+	Reason   string         `json:"reason,omitempty"` // why the group does not serve
+	Members  []Member       `json:"members"`          // indexed by rank
+	// Stuck is set if the domain has no VM to replace a lost member with. Another
+	// domain may then form a group in place of this one.
 	Stuck bool `json:"stuck,omitempty"`
 }
 
-// Assignment is what the engine of the given rank is ordered to be.
+// Assignment returns the assignment to send to the engine of the given rank.
 func (g Group) Assignment(rank int) *engine.Assignment {
 	addresses := make([]string, len(g.Members))
 	for i, m := range g.Members {
@@ -75,13 +76,14 @@
 	return &engine.Assignment{Group: g.ID, Epoch: g.Epoch, Rank: rank, Members: addresses, Weights: g.Weights, WeightMB: g.WeightMB}
 }
 
-// Holder is the daemon that holds a domain's duty lease.
+// Holder identifies the daemon process that may write a domain object and send
+// orders for it.
 type Holder struct {
 	Slot        string `json:"slot"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Domain is the value of a domain object.
+// Domain is the stored state of one fabric domain.
 type Domain struct {
 	Name      string              `json:"name"`
 	Place     string              `json:"place"`
@@ -91,12 +93,12 @@
 	LastEpoch uint64              `json:"last_epoch"`
 }
 
-// NewDomain returns an empty domain.
+// NewDomain returns a domain without VMs, groups or holder.
 func NewDomain(name, place string) Domain {
 	return Domain{Name: name, Place: place, VMs: map[string]VMRecord{}, Groups: map[string]Group{}}
 }
 
-// Clone copies the maps and member lists.
+// Clone returns a deep copy.
 func (d Domain) Clone() Domain {
 	d.VMs = maps.Clone(d.VMs)
 	d.Groups = maps.Clone(d.Groups)
@@ -107,16 +109,18 @@
 	return d
 }
 
-// DecodeDomain reads the stored form.
+// DecodeDomain decodes the stored form; it fails if value is not valid JSON of a
+// domain. It does not validate the invariants.
 func DecodeDomain(value []byte) (Domain, error) {
 	d := NewDomain("", "")
 	if err := json.Unmarshal(value, &d); err != nil {
-		return d, errors.Annotate(err, "domain object")
+		return d, errors.Annotate(err, "decoding domain object")
 	}
 	return d, nil
 }
 
-// Encode writes the stored form after Validate.
+// Encode returns the stored form, or an error that wraps ErrInvalid if the domain
+// breaks an invariant.
 func (d Domain) Encode() ([]byte, error) {
 	if err := d.Validate(); err != nil {
 		return nil, err
@@ -125,18 +129,20 @@
 	return data, errors.Trace(err)
 }
 
-// ErrInvalid: a domain that would break an invariant is never written.
+// ErrInvalid is returned for a domain that breaks an invariant. Such a domain is
+// never written.
 const ErrInvalid = errors.ConstError("group: domain breaks an invariant")
 
-// Validate checks the invariants of one domain object: no VM in two groups,
-// every member a known VM, epochs at most LastEpoch and unique.
+// Validate checks the invariants of a domain object: no VM is in two groups, every
+// member is a known VM, and epochs are unique and at most LastEpoch. Its errors
+// wrap ErrInvalid.
 func (d Domain) Validate() error {
 	owner := map[string]string{}
 	epochs := map[uint64]string{}
 	for _, id := range d.GroupIDs() {
 		g := d.Groups[id]
 		if other, taken := epochs[g.Epoch]; taken || g.Epoch > d.LastEpoch {
-			return errors.Annotatef(ErrInvalid, "group %s: epoch %d (also %q, last %d)", id, g.Epoch, other, d.LastEpoch)
+			return errors.Annotatef(ErrInvalid, "group %s: epoch %d is also used by group %q or exceeds the last epoch %d", id, g.Epoch, other, d.LastEpoch)
 		}
 		epochs[g.Epoch] = id
 		for _, m := range g.Members {
@@ -144,7 +150,7 @@
 				return errors.Annotatef(ErrInvalid, "group %s: unknown VM %s", id, m.VM)
 			}
 			if other, taken := owner[m.VM]; taken {
-				return errors.Annotatef(ErrInvalid, "VM %s in groups %s and %s", m.VM, other, id)
+				return errors.Annotatef(ErrInvalid, "VM %s is a member of groups %s and %s", m.VM, other, id)
 			}
 			owner[m.VM] = id
 		}
@@ -152,13 +158,13 @@
 	return nil
 }
 
-// GroupIDs lists the groups in order.
+// GroupIDs returns the group ids, sorted.
 func (d Domain) GroupIDs() []string { return slices.Sorted(maps.Keys(d.Groups)) }
 
-// VMNames lists the VMs in order.
+// VMNames returns the names of the VMs, sorted.
 func (d Domain) VMNames() []string { return slices.Sorted(maps.Keys(d.VMs)) }
 
-// GroupOf returns the group that a VM belongs to.
+// GroupOf returns the group that a VM is a member of; false if there is none.
 func (d Domain) GroupOf(vm string) (Group, bool) {
 	for _, g := range d.Groups {
 		for _, m := range g.Members {
@@ -170,7 +176,7 @@
 	return Group{}, false
 }
 
-// Departing tells whether any member of the group must not get new work.
+// Departing reports whether any member of the group must not get new work.
 func (d Domain) Departing(g Group) bool {
 	for _, m := range g.Members {
 		if d.VMs[m.VM].departing() {
@@ -180,13 +186,14 @@
 	return false
 }
 
-// nextEpoch raises the domain's epoch counter.
+// nextEpoch increments the domain's epoch counter and returns it.
 func (d *Domain) nextEpoch() uint64 {
 	d.LastEpoch++
 	return d.LastEpoch
 }
 
-// NotServing counts the accelerators of present VMs that are in no serving group.
+// NotServing returns the number of accelerators on listed VMs that are not in a
+// serving group.
 func (d Domain) NotServing() int {
 	n := 0
 	for name, record := range d.VMs {
--- a/internal/group/evidence.go
+++ b/internal/group/evidence.go
@@ -6,53 +6,57 @@
 	"pearlanding/internal/engine"
 )
 
-// Probe is the last a daemon knows of one engine. Times are on its own clock;
-// At is when the last answered probe was sent, which is how old the facts are.
-type Probe struct {
-	Status   engine.Status
-	At       time.Time // zero: never answered
-	FailedAt time.Time // last unanswered probe since At; zero: none
-	Failures int       // unanswered probes in a row
-	// Refused: the last probe found no process at the address.
+// ProbeState summarizes a daemon's probes of one engine. Times are on the daemon's
+// own clock and are send times, so that the age of an answer is never
+// underestimated.
+type ProbeState struct {
+	Status     engine.Status
+	AnsweredAt time.Time // send time of the last answered probe; zero: none
+	FailedAt   time.Time // last failed probe after AnsweredAt; zero: none
+	Failures   int       // consecutive failed probes
+	// Refused is set if the connection of the last probe was refused: no process
+	// listens at the address.
 	Refused bool
-	// IdleSince is since when every answer said "no assignment", same boot id.
-	IdleSince time.Time
-	// QuietSince is since when every answer said "nothing running or queued".
-	QuietSince time.Time
+	// UnassignedSince is the time of the first of the consecutive answers, with the
+	// same boot id, that showed no assignment; zero if the last one showed one.
+	UnassignedSince time.Time
+	// NoRequestsSince is the same for answers without running or queued requests.
+	NoRequestsSince time.Time
 }
 
-// Answered folds an answer to a probe sent at the given time.
-func (p Probe) Answered(s engine.Status, sent time.Time) Probe {
-	same := !p.At.IsZero() && p.Status.BootID == s.BootID
-	idle := s.Assignment == nil
-	if !idle || !same {
-		p.IdleSince = time.Time{}
+// WithAnswer returns the state after an answer to a probe sent at the given time.
+func (p ProbeState) WithAnswer(s engine.Status, sent time.Time) ProbeState {
+	same := !p.AnsweredAt.IsZero() && p.Status.BootID == s.BootID
+	unassigned := s.Assignment == nil
+	if !unassigned || !same {
+		p.UnassignedSince = time.Time{}
 	}
-	if idle && p.IdleSince.IsZero() {
-		p.IdleSince = sent
+	if unassigned && p.UnassignedSince.IsZero() {
+		p.UnassignedSince = sent
 	}
-	quiet := s.Running == 0 && s.Queued == 0
-	if !quiet || !same {
-		p.QuietSince = time.Time{}
+	noRequests := s.Running == 0 && s.Queued == 0
+	if !noRequests || !same {
+		p.NoRequestsSince = time.Time{}
 	}
-	if quiet && p.QuietSince.IsZero() {
-		p.QuietSince = sent
+	if noRequests && p.NoRequestsSince.IsZero() {
+		p.NoRequestsSince = sent
 	}
-	p.Status, p.At, p.FailedAt, p.Failures, p.Refused = s, sent, time.Time{}, 0, false
+	p.Status, p.AnsweredAt, p.FailedAt, p.Failures, p.Refused = s, sent, time.Time{}, 0, false
 	return p
 }
 
-// Failed folds an unanswered probe sent at the given time; refused says that the
-// connection was refused.
-func (p Probe) Failed(sent time.Time, refused bool) Probe {
+// WithFailure returns the state after a failed probe sent at the given time; refused
+// means that the connection was refused.
+func (p ProbeState) WithFailure(sent time.Time, refused bool) ProbeState {
 	p.FailedAt, p.Refused = sent, refused
 	p.Failures++
 	return p
 }
 
-// Evidence is what one prober knows of one epoch of a group. Ready is the
-// moment up to which all members were surely ready at this epoch with the boot
-// ids on record; it travels between daemons as an age, never as a wall clock.
+// Evidence is one prober's report on one epoch of a group. Ready is the latest time
+// at which all members are known to have been ready at this epoch with the recorded
+// boot ids, zero if they are not. It is sent to other daemons as an age because their
+// clocks differ.
 type Evidence struct {
 	Group   string    `json:"group"`
 	Epoch   uint64    `json:"epoch"`
@@ -60,36 +64,37 @@
 	Running int       `json:"running"`
 	Queued  int       `json:"queued"`
 	Slots   int       `json:"slots"`
-	// Over: the epoch is surely over, since some member's process is gone or
-	// answers with another boot id or assignment. This never becomes untrue.
-	Over bool `json:"over,omitempty"`
-	// Lost names members that are dead, restarted or no longer at this epoch.
+	// Ended is set if the epoch is known to be over because a member's process is
+	// gone or answers with another boot id or assignment. It is final.
+	Ended bool `json:"over,omitempty"`
+	// Lost lists members that are dead, restarted or no longer at this epoch.
 	Lost []string `json:"lost,omitempty"`
-	// Leaving names members whose engines say they are leaving.
+	// Leaving lists members whose engines report that they are leaving.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// lostFailures is how many unanswered probes in a row make a member lost: at once
-// when its address refuses connections, else when its last answer is also older
-// than the evidence age.
-const lostFailures = 2
+// lostAfterFailures is the number of consecutive failed probes after which a member
+// counts as lost. Unless its address refuses connections, its last answer must also
+// be older than the evidence age.
+const lostAfterFailures = 2
 
-// Assess makes evidence for a serving or draining group from probes by VM.
-func Assess(g Group, probes map[string]Probe, now time.Time, maxAge time.Duration) Evidence {
+// Assess derives the evidence on a serving or draining group from the probes of its
+// members, keyed by VM name.
+func Assess(g Group, probes map[string]ProbeState, now time.Time, maxAge time.Duration) Evidence {
 	e := Evidence{Group: g.ID, Epoch: g.Epoch, Ready: now}
 	for rank, m := range g.Members {
 		p := probes[m.VM]
-		if isLost, sure := lost(g, rank, p, now, maxAge); isLost {
+		if isLost, sure := memberLost(g, rank, p, now, maxAge); isLost {
 			e.Lost = append(e.Lost, m.VM)
-			e.Over = e.Over || sure
+			e.Ended = e.Ended || sure
 		}
 		if p.Status.Leaving {
 			e.Leaving = append(e.Leaving, m.VM)
 		}
 		if !memberReady(g, rank, p.Status) {
 			e.Ready = time.Time{}
-		} else if p.At.Before(e.Ready) {
-			e.Ready = p.At
+		} else if p.AnsweredAt.Before(e.Ready) {
+			e.Ready = p.AnsweredAt
 		}
 		if rank == 0 {
 			e.Running, e.Queued, e.Slots = p.Status.Running, p.Status.Queued, p.Status.Slots
@@ -98,22 +103,22 @@
 	return e
 }
 
-// lost tells whether the member of a rank ended this epoch, and whether that is
-// sure or only silence.
-func lost(g Group, rank int, p Probe, now time.Time, maxAge time.Duration) (isLost, sure bool) {
+// memberLost reports whether the member of a rank has left this epoch. The second
+// result is false if that is only inferred from missing answers.
+func memberLost(g Group, rank int, p ProbeState, now time.Time, maxAge time.Duration) (isLost, sure bool) {
 	switch {
 	case p.Failures == 0:
-		isLost = !p.At.IsZero() && !memberReady(g, rank, p.Status)
+		isLost = !p.AnsweredAt.IsZero() && !memberReady(g, rank, p.Status)
 		return isLost, isLost
 	case p.Refused:
-		isLost = p.Failures >= lostFailures
+		isLost = p.Failures >= lostAfterFailures
 		return isLost, isLost
 	}
-	return p.Failures >= lostFailures && now.Sub(p.At) > maxAge, false
+	return p.Failures >= lostAfterFailures && now.Sub(p.AnsweredAt) > maxAge, false
 }
 
-// memberReady tells whether a status shows the member ready at the epoch, with
-// the boot id on record if there is one.
+// memberReady reports whether a status shows the member ready at the group's epoch,
+// with the recorded boot id if there is one.
 func memberReady(g Group, rank int, s engine.Status) bool {
 	a := s.Assignment
 	want := g.Members[rank].BootID
--- a/internal/group/plan_test.go
+++ b/internal/group/plan_test.go
@@ -15,7 +15,7 @@
 
 var testWeights = engine.Weights{Model: "m", Version: "1"}
 
-// testDomain holds one group of two in the state, and one spare VM.
+// testDomain returns a domain with one group of two VMs in the state and a spare VM.
 func testDomain(state State) Domain {
 	d := NewDomain("d", "here")
 	for _, vm := range []string{"vm0", "vm1", "vm2"} {
@@ -29,29 +29,30 @@
 
 func testInput(d Domain, now time.Time) Input {
 	in := Input{Domain: d, Pools: []catalog.Pool{{Name: "p@1", Model: "m", Version: "1", VMs: 2, Replicas: 1, Places: []string{"here"}}},
-		Want: map[string]int{"p@1": 1}, Probes: map[string]Probe{}, Evidence: map[string]Evidence{}, Since: map[string]time.Time{}, Now: now}
+		Want: map[string]int{"p@1": 1}, Probes: map[string]ProbeState{}, Evidence: map[string]Evidence{}, StateSince: map[string]time.Time{}, Now: now}
 	for _, g := range d.Groups {
-		in.Since[SinceKey(g)] = now.Add(-time.Hour)
+		in.StateSince[StateKey(g)] = now.Add(-time.Hour)
 	}
 	return in
 }
 
-// ready is a fresh answer of a member at its epoch.
-func ready(g Group, rank int, now time.Time) Probe {
-	return Probe{}.Answered(engine.Status{VM: g.Members[rank].VM, BootID: "b", State: engine.StateReady,
+// ready returns the probe state of a member that has just answered ready at its epoch.
+func ready(g Group, rank int, now time.Time) ProbeState {
+	return ProbeState{}.WithAnswer(engine.Status{VM: g.Members[rank].VM, BootID: "b", State: engine.StateReady,
 		Assignment: g.Assignment(rank), Loaded: testWeights}, now)
 }
 
-// idle is a fresh answer of a VM that has had no assignment since then.
-func idle(since, now time.Time) Probe {
+// idle returns the probe state of a VM without an assignment since the given time.
+func idle(since, now time.Time) ProbeState {
 	s := engine.Status{BootID: "b", State: engine.StateIdle, Loaded: testWeights}
-	return Probe{}.Answered(s, since).Answered(s, now)
+	return ProbeState{}.WithAnswer(s, since).WithAnswer(s, now)
 }
 
-// TestMemberEntersEpochOnlyFromRest: after a false alarm all members still stand
-// at the old epoch, and a daemon with an old copy of the domain has fresh evidence
-// of it. models/group.pml refuted going straight to the next epoch (NO_REST).
-func TestMemberEntersEpochOnlyFromRest(t *testing.T) {
+// After a false alarm all members are still assigned to the old epoch, and a daemon
+// with a stale copy of the domain has fresh evidence of it. If a member could go
+// straight to the next epoch, that daemon would dispatch to a partial group;
+// models/group.pml shows it with NO_REST.
+func TestMemberEntersEpochOnlyAfterEvidenceExpires(t *testing.T) {
 	now := time.Unix(9000, 0)
 	d := testDomain(StateSuspended)
 	in := testInput(d, now)
@@ -67,12 +68,12 @@
 
 	in.Probes["vm0"], in.Probes["vm1"] = idle(now.Add(-time.Second), now), idle(now.Add(-time.Second), now)
 	_, changed = Plan(in, testPolicy)
-	must.False(t, changed, must.Sprint("not rested long enough"))
+	must.False(t, changed, must.Sprint("evidence of the old epoch may still be fresh"))
 
 	in.Probes["vm0"], in.Probes["vm1"] = idle(now.Add(-3*time.Second), now), idle(now.Add(-3*time.Second), now)
 	in.OrderFrom = now.Add(-time.Second)
 	_, changed = Plan(in, testPolicy)
-	must.False(t, changed, must.Sprint("an order of the last holder may have ended the rest"))
+	must.False(t, changed, must.Sprint("an order of the previous holder may have assigned them again"))
 
 	in.OrderFrom = now.Add(-time.Hour)
 	next, changed = Plan(in, testPolicy)
@@ -81,12 +82,12 @@
 	must.Eq(t, uint64(2), next.Groups["d.1"].Epoch)
 }
 
-func TestLostMemberIsReplacedAndLoadedOnesStay(t *testing.T) {
+func TestLostMemberIsReplacedAndOthersStay(t *testing.T) {
 	now := time.Unix(9000, 0)
 	d := testDomain(StateSuspended)
 	in := testInput(d, now)
 	in.Probes["vm0"] = idle(now.Add(-time.Hour), now)
-	in.Probes["vm1"] = Probe{Failures: 9}
+	in.Probes["vm1"] = ProbeState{Failures: 9}
 	in.Probes["vm2"] = idle(now.Add(-time.Hour), now)
 	next, changed := Plan(in, testPolicy)
 	must.True(t, changed)
@@ -100,12 +101,12 @@
 	must.Eq(t, StateRetiring, next.Groups["d.1"].State)
 }
 
-func TestEvidenceEndsWithTheEpoch(t *testing.T) {
+func TestEvidenceEndsWithEpoch(t *testing.T) {
 	now := time.Unix(9000, 0)
 	g := testDomain(StateServing).Groups["d.1"]
-	probes := map[string]Probe{"vm0": ready(g, 0, now), "vm1": ready(g, 1, now.Add(-time.Second))}
+	probes := map[string]ProbeState{"vm0": ready(g, 0, now), "vm1": ready(g, 1, now.Add(-time.Second))}
 	e := Assess(g, probes, now, testPolicy.EvidenceAge)
-	must.Eq(t, now.Add(-time.Second), e.Ready) // the oldest member's
+	must.Eq(t, now.Add(-time.Second), e.Ready) // of the member whose answer is oldest
 	must.SliceEmpty(t, e.Lost)
 
 	restarted := probes["vm1"]
@@ -124,7 +125,7 @@
 	must.ErrorIs(t, err, ErrInvalid)
 }
 
-func TestStateMachineRefusesOtherMoves(t *testing.T) {
+func TestStateMachineRefusesOtherTransitions(t *testing.T) {
 	for _, tc := range []struct {
 		from    State
 		trigger Trigger
@@ -144,16 +145,16 @@
 	}
 }
 
-func TestStuckGroupLetsAnotherDomainFormItsSuccessor(t *testing.T) {
-	dark := testDomain(StateSuspended)
-	g := dark.Groups["d.1"]
+func TestStuckGroupIsFormedInAnotherDomain(t *testing.T) {
+	stuck := testDomain(StateSuspended)
+	g := stuck.Groups["d.1"]
 	g.Stuck = true
-	dark.Groups["d.1"] = g
+	stuck.Groups["d.1"] = g
 	other := NewDomain("e", "here")
 	for _, vm := range []string{"e0", "e1"} {
 		other.VMs[vm] = VMRecord{Address: vm}
 	}
-	want := Allocate(testInput(dark, time.Unix(9000, 0)).Pools, []Domain{dark, other})
+	want := Allocate(testInput(stuck, time.Unix(9000, 0)).Pools, []Domain{stuck, other})
 	must.Eq(t, 1, want["e"]["p@1"])
 	must.Eq(t, 0, want["d"]["p@1"])
 }
--- a/internal/group/prober.go
+++ b/internal/group/prober.go
@@ -12,14 +12,14 @@
 	"pearlanding/internal/engine"
 )
 
-// Copy is a domain object with its version.
+// Copy is a domain together with the version of its platform object.
 type Copy struct {
 	Version uint64
 	Domain  Domain
 }
 
-// View is what the group duties see of the rest of the daemon. All returned
-// values are immutable snapshots.
+// View gives the reconcilers and probers access to the daemon's control state. All
+// returned values are immutable snapshots.
 type View interface {
 	// Domains returns the newest known copy of each domain object.
 	Domains() map[string]Copy
@@ -27,16 +27,18 @@
 	Evidence() map[string]Evidence
 	// Pools returns the pools of the configuration in force.
 	Pools() []catalog.Pool
-	// Owns tells whether this daemon is among the first n live ones for a duty.
+	// Owns reports whether this daemon is among the n live daemons that a duty is
+	// assigned to.
 	Owns(duty string, n int) bool
-	// PublishDomain hands in a domain object as read or written.
+	// PublishDomain passes on a domain object that was read or written.
 	PublishDomain(name string, c Copy)
-	// PublishEvidence hands in evidence from this daemon's own probes.
+	// PublishEvidence passes on evidence from this daemon's own probes.
 	PublishEvidence(list []Evidence)
 }
 
-// probeAll probes the VMs at once and returns when each has answered or failed.
-func probeAll(ctx context.Context, c engine.Controller, addresses map[string]string, timeout time.Duration, probes map[string]Probe) {
+// probeAll probes the VMs concurrently, records the results in probes and returns
+// when each has answered or failed. An answer by another VM counts as a failure.
+func probeAll(ctx context.Context, c engine.Controller, addresses map[string]string, timeout time.Duration, probes map[string]ProbeState) {
 	var (
 		mu sync.Mutex
 		wg sync.WaitGroup
@@ -50,36 +52,36 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil || status.VM != vm {
-				probes[vm] = probes[vm].Failed(sent, errors.Is(err, syscall.ECONNREFUSED))
+				probes[vm] = probes[vm].WithFailure(sent, errors.Is(err, syscall.ECONNREFUSED))
 				return
 			}
-			probes[vm] = probes[vm].Answered(status, sent)
+			probes[vm] = probes[vm].WithAnswer(status, sent)
 		})
 	}
 	wg.Wait()
 }
 
-// probersPerGroup is how many daemons probe each serving group, so that evidence
-// stays fresh while a prober's duties move.
+// probersPerGroup is the number of daemons that probe each group: with two, evidence
+// stays fresh while the duty of one moves to another daemon.
 const probersPerGroup = 2
 
-// Prober probes the members of the serving groups that fall to this daemon and
-// publishes evidence of them.
+// Prober probes the members of the serving and draining groups that this daemon is
+// assigned and publishes the evidence.
 type Prober struct {
 	Engines  engine.Controller
 	View     View
-	Interval time.Duration
-	MaxAge   time.Duration // of evidence
-	probes   map[string]Probe
+	Interval time.Duration // between rounds, and the timeout of a round's probes
+	MaxAge   time.Duration // greatest age of an answer that counts as evidence
+	probes   map[string]ProbeState
 }
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	p.probes = map[string]Probe{}
+	p.probes = map[string]ProbeState{}
 	ticker := time.NewTicker(p.Interval)
 	defer ticker.Stop()
 	for {
-		p.round(ctx)
+		p.probeOnce(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -88,8 +90,8 @@
 	}
 }
 
-func (p *Prober) round(ctx context.Context) {
-	groups := p.mine()
+func (p *Prober) probeOnce(ctx context.Context) {
+	groups := p.ownedGroups()
 	addresses := map[string]string{}
 	for _, g := range groups {
 		for _, m := range g.Members {
@@ -97,7 +99,7 @@
 		}
 	}
 	for vm := range p.probes {
-		if _, still := addresses[vm]; !still {
+		if _, needed := addresses[vm]; !needed {
 			delete(p.probes, vm)
 		}
 	}
@@ -112,8 +114,8 @@
 	}
 }
 
-// mine lists the groups to probe.
-func (p *Prober) mine() []Group {
+// ownedGroups lists the groups that this daemon probes.
+func (p *Prober) ownedGroups() []Group {
 	var out []Group
 	for _, c := range p.View.Domains() {
 		for id, g := range c.Domain.Groups {
--- a/internal/group/repair.go
+++ b/internal/group/repair.go
@@ -9,64 +9,64 @@
 	"pearlanding/internal/engine"
 )
 
-// repair gives suspended groups a new epoch in which the lost or leaving members
-// are replaced and the loaded ones stay, once all that stay have come to rest.
-// What returns most to service per replaced member comes first.
-func (p *planner) repair() {
+// repairGroups starts a new epoch of suspended groups in which lost and leaving
+// members are replaced and the others stay, once all that stay are reusable. Groups of
+// higher priority come first, then those with the fewest members to replace, which
+// return the most capacity per free VM.
+func (p *planner) repairGroups() {
 	var broken []Group
-	for _, id := range p.d.GroupIDs() {
-		g := p.d.Groups[id]
-		if g.State == StateSuspended && p.elapsed(g, p.policy.settle()) && p.membersRested(g) {
+	for _, id := range p.domain.GroupIDs() {
+		g := p.domain.Groups[id]
+		if g.State == StateSuspended && p.inStateFor(g, p.policy.reuseDelay()) && p.stayingMembersReusable(g) {
 			broken = append(broken, g)
 		}
 	}
 	slices.SortStableFunc(broken, func(a, b Group) int {
-		return cmp.Or(cmp.Compare(p.priority(b), p.priority(a)), cmp.Compare(len(p.lostOf(a)), len(p.lostOf(b))))
+		return cmp.Or(cmp.Compare(p.priority(b), p.priority(a)), cmp.Compare(len(p.ranksToReplace(a)), len(p.ranksToReplace(b))))
 	})
 	for _, g := range broken {
-		p.repairOne(g, broken)
+		p.repairGroup(g, broken)
 	}
 }
 
-// membersRested tells whether every member that can stay is at rest.
-func (p *planner) membersRested(g Group) bool {
+// stayingMembersReusable reports whether every member that can stay is reusable.
+func (p *planner) stayingMembersReusable(g Group) bool {
 	for _, m := range g.Members {
-		if p.keepable(m) && !p.rested(m.VM) {
+		if p.canStay(m) && !p.reusable(m.VM) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *planner) repairOne(g Group, broken []Group) {
-	if current, exists := p.d.Groups[g.ID]; !exists || current.Epoch != g.Epoch || current.State != g.State {
-		return // given up for another group in this pass
+func (p *planner) repairGroup(g Group, broken []Group) {
+	if current, exists := p.domain.Groups[g.ID]; !exists || current.Epoch != g.Epoch || current.State != g.State {
+		return // retired earlier in this pass, in favour of another group
 	}
 	if p.policy.Rebuild || p.surplus(g.Pool) > 0 {
 		p.fire(g, TriggerRetire, g.Reason)
 		return
 	}
-	lost, free := p.lostOf(g), p.free(g.Weights)
+	lost, free := p.ranksToReplace(g), p.freeVMs(g.Weights)
 	if len(free) < len(lost) {
-		p.withoutSpares(g, lost, broken)
+		p.resolveShortage(g, lost, broken)
 		return
 	}
 	for i, rank := range lost {
-		p.seat(&g, rank, free[i])
+		p.setMember(&g, rank, free[i])
 	}
-	p.newEpoch(g)
+	p.startEpoch(g)
 }
 
-// withoutSpares decides about a broken group that can't be completed. Keeping it
-// together brings it back soonest once a VM returns; giving it up lets its
-// healthy members complete another broken group or form a smaller one. The
-// weights of the two measures decide between waiting and giving up; of several
-// broken groups, the one that misses most is given up so that others of no lower
-// priority are completed.
-func (p *planner) withoutSpares(g Group, lost []int, broken []Group) {
+// resolveShortage decides whether a broken group without enough free VMs waits or is
+// retired. A waiting group returns soonest once a VM is free; a retired one lets its
+// healthy members complete another broken group or form a smaller one. A group is
+// retired if another broken one of at least its priority needs fewer VMs, or if the
+// policy weighs stranded VMs higher than downtime and the members fit another pool.
+func (p *planner) resolveShortage(g Group, lost []int, broken []Group) {
 	for _, other := range broken {
-		waits := other.ID != g.ID && p.d.Groups[other.ID].State == other.State
-		if waits && len(p.lostOf(other)) < len(lost) && p.priority(other) >= p.priority(g) {
+		waiting := other.ID != g.ID && p.domain.Groups[other.ID].State == other.State
+		if waiting && len(p.ranksToReplace(other)) < len(lost) && p.priority(other) >= p.priority(g) {
 			p.fire(g, TriggerRetire, "its members complete other groups")
 			return
 		}
@@ -78,47 +78,49 @@
 	}
 	if !g.Stuck {
 		g.Stuck = true
-		p.d.Groups[g.ID] = g
+		p.domain.Groups[g.ID] = g
 		p.changed = true
 	}
 }
 
-// usableElsewhere tells whether the healthy members of a group, with what is
-// free, could form a group of another pool that misses one.
+// usableElsewhere reports whether the healthy members of a group together with the
+// free VMs could form a group of another pool that is short of one.
 func (p *planner) usableElsewhere(g Group, healthy int) bool {
 	for _, pool := range p.in.Pools {
-		if pool.Name != g.Pool && p.missing(pool.Name) > 0 && healthy+len(p.free(engine.Weights{})) >= pool.VMs {
+		if pool.Name != g.Pool && p.missing(pool.Name) > 0 && healthy+len(p.freeVMs(engine.Weights{})) >= pool.VMs {
 			return true
 		}
 	}
 	return false
 }
 
-// lostOf lists the ranks whose members can't stay.
-func (p *planner) lostOf(g Group) []int {
+// ranksToReplace lists the ranks of the members that can't stay.
+func (p *planner) ranksToReplace(g Group) []int {
 	var out []int
 	for rank, m := range g.Members {
-		if !p.keepable(m) {
+		if !p.canStay(m) {
 			out = append(out, rank)
 		}
 	}
 	return out
 }
 
-func (p *planner) seat(g *Group, rank int, vm string) {
-	g.Members[rank] = Member{VM: vm, Address: p.d.VMs[vm].Address}
+func (p *planner) setMember(g *Group, rank int, vm string) {
+	g.Members[rank] = Member{VM: vm, Address: p.domain.VMs[vm].Address}
 }
 
-// newEpoch puts a group with its members as they now are back to loading.
-func (p *planner) newEpoch(g Group) {
+// startEpoch moves a suspended group with its current members back to loading, at a
+// new epoch.
+func (p *planner) startEpoch(g Group) {
 	for rank := range g.Members {
 		g.Members[rank].BootID = ""
 	}
-	g.Epoch = p.d.nextEpoch()
+	g.Epoch = p.domain.nextEpoch()
 	g.Stuck = false
 	p.fire(g, TriggerReplace, "loading")
 }
 
+// priority returns the priority of a group's pool, -1 if the pool no longer exists.
 func (p *planner) priority(g Group) int {
 	for _, pool := range p.in.Pools {
 		if pool.Name == g.Pool {
@@ -128,10 +130,10 @@
 	return -1
 }
 
-// count is how many groups of a pool the domain holds that are not given up.
-func (p *planner) count(pool string) int {
+// activeGroups counts the groups of a pool in the domain, without the retiring ones.
+func (p *planner) activeGroups(pool string) int {
 	n := 0
-	for _, g := range p.d.Groups {
+	for _, g := range p.domain.Groups {
 		if g.Pool == pool && g.State != StateRetiring {
 			n++
 		}
@@ -139,37 +141,38 @@
 	return n
 }
 
-func (p *planner) surplus(pool string) int { return p.count(pool) - p.in.Want[pool] }
-func (p *planner) missing(pool string) int { return p.in.Want[pool] - p.count(pool) }
+func (p *planner) surplus(pool string) int { return p.activeGroups(pool) - p.in.Want[pool] }
+func (p *planner) missing(pool string) int { return p.in.Want[pool] - p.activeGroups(pool) }
 
-// retireSurplus gives up groups that are no longer wanted: broken ones first,
-// then loading ones, then serving ones by way of draining.
+// retireSurplus retires groups in excess of what is wanted, in the order of
+// retireOrder.
 func (p *planner) retireSurplus() {
 	pools := map[string]bool{}
-	for _, g := range p.d.Groups {
+	for _, g := range p.domain.Groups {
 		pools[g.Pool] = true
 	}
 	for pool := range pools {
-		ids := p.d.GroupIDs()
+		ids := p.domain.GroupIDs()
 		slices.SortStableFunc(ids, func(a, b string) int {
-			return cmp.Compare(worth(p.d.Groups[a].State), worth(p.d.Groups[b].State))
+			return cmp.Compare(retireOrder(p.domain.Groups[a].State), retireOrder(p.domain.Groups[b].State))
 		})
-		over := p.surplus(pool)
+		excess := p.surplus(pool)
 		for _, id := range ids {
-			if g := p.d.Groups[id]; over > 0 && g.Pool == pool && g.State != StateRetiring {
-				p.giveUp(g)
-				over--
+			if g := p.domain.Groups[id]; excess > 0 && g.Pool == pool && g.State != StateRetiring {
+				p.retire(g)
+				excess--
 			}
 		}
 	}
 }
 
-func (p *planner) giveUp(g Group) {
+// retire starts to retire a group; a serving group is drained first.
+func (p *planner) retire(g Group) {
 	switch g.State {
 	case StateServing:
 		p.fire(g, TriggerDrain, "no longer wanted")
 	case StateDraining:
-		if p.quiet(g) {
+		if p.drained(g) {
 			p.fire(g, TriggerRetire, "no longer wanted")
 		}
 	default:
@@ -177,52 +180,53 @@
 	}
 }
 
-// worth orders states by what is lost when the group is given up. A group that
-// drains already is given up before one that serves.
-func worth(s State) int {
+// retireOrder orders states by the capacity lost when the group is retired, least
+// first: a group that is already draining goes before one that loads or serves.
+func retireOrder(s State) int {
 	return slices.Index([]State{StateSuspended, StateDraining, StateLoading, StateServing}, s)
 }
 
-// form reserves free VMs for pools that miss groups, keeping the spares back.
-func (p *planner) form() {
+// formGroups forms missing groups from free VMs as long as the spares remain free.
+func (p *planner) formGroups() {
 	for _, pool := range p.in.Pools {
 		w := engine.Weights{Model: pool.Model, Version: pool.Version}
 		for p.missing(pool.Name) > 0 {
-			free := p.free(w)
+			free := p.freeVMs(w)
 			if len(free) < pool.VMs+p.policy.Spares {
 				break
 			}
-			p.reserve(pool, w, free[:pool.VMs])
+			p.formGroup(pool, w, free[:pool.VMs])
 		}
 	}
 }
 
-func (p *planner) reserve(pool catalog.Pool, w engine.Weights, vms []string) {
-	epoch := p.d.nextEpoch()
-	g := Group{ID: fmt.Sprintf("%s.%d", p.d.Name, epoch), Pool: pool.Name, Weights: w, WeightMB: pool.WeightMB,
+func (p *planner) formGroup(pool catalog.Pool, w engine.Weights, vms []string) {
+	epoch := p.domain.nextEpoch()
+	g := Group{ID: fmt.Sprintf("%s.%d", p.domain.Name, epoch), Pool: pool.Name, Weights: w, WeightMB: pool.WeightMB,
 		Epoch: epoch, State: StateLoading, Reason: "loading", Members: make([]Member, len(vms))}
 	for i, vm := range vms {
-		p.seat(&g, i, vm)
+		p.setMember(&g, i, vm)
 	}
-	p.d.Groups[g.ID] = g
+	p.domain.Groups[g.ID] = g
 	p.changed = true
 }
 
-// Orders lists what the engines must be told so that the domain as written comes
-// true: assignments of loading groups, and releases of VMs that hold one they
-// should not: those in no group, and members of groups whose epoch is over. An engine that already stands so gets no order.
-func Orders(d Domain, probes map[string]Probe) map[string]*engine.Assignment {
+// Orders returns, by VM, the assignments that engines must be ordered to take so that
+// they match the written domain: those of loading groups, and nil (release) for VMs
+// with an assignment that are in no group or in a suspended or retiring one. Engines
+// that already match and VMs whose last probe failed get no order.
+func Orders(d Domain, probes map[string]ProbeState) map[string]*engine.Assignment {
 	out := map[string]*engine.Assignment{}
 	for _, name := range d.VMNames() {
 		probe := probes[name]
-		if probe.At.IsZero() || probe.Failures > 0 {
+		if probe.AnsweredAt.IsZero() || probe.Failures > 0 {
 			continue
 		}
 		g, used := d.GroupOf(name)
 		switch {
 		case used && g.State == StateLoading:
 			rank := slices.IndexFunc(g.Members, func(m Member) bool { return m.VM == name })
-			if !assigned(probe.Status.Assignment, g, rank) {
+			if !hasAssignment(probe.Status.Assignment, g, rank) {
 				out[name] = g.Assignment(rank)
 			}
 		case (!used || g.State == StateRetiring || g.State == StateSuspended) && probe.Status.Assignment != nil:
@@ -232,68 +236,70 @@
 	return out
 }
 
-// assigned tells whether the engine has taken the rank's assignment.
-func assigned(a *engine.Assignment, g Group, rank int) bool {
+// hasAssignment reports whether a is the assignment of the group's rank.
+func hasAssignment(a *engine.Assignment, g Group, rank int) bool {
 	return a != nil && a.Group == g.ID && a.Epoch == g.Epoch && a.Rank == rank && a.Weights == g.Weights &&
 		slices.Equal(a.Members, g.Assignment(rank).Members)
 }
 
-// Allocate spreads the replicas that pools still miss over the domains of their
-// places and returns, for each domain, how many groups of each pool it should
-// hold. Groups that exist stay where they are; each missing one goes to the
-// domain with the most VMs that are in no group. A stuck group counts only when
-// no domain has room for its successor.
+// Allocate distributes the replicas of the pools over the domains in their places and
+// returns the wanted number of groups by domain and pool. Existing groups stay where
+// they are; each missing one goes to the domain with the most unused VMs. A stuck
+// group counts only if no domain has the capacity to replace it.
 func Allocate(pools []catalog.Pool, domains []Domain) map[string]map[string]int {
 	want := map[string]map[string]int{}
-	spare := map[string]int{}
+	unused := map[string]int{}
 	for _, d := range domains {
 		want[d.Name] = map[string]int{}
-		spare[d.Name] = unusedVMs(d)
+		unused[d.Name] = unusedVMs(d)
 	}
 	for _, pool := range pools {
-		left := keepExisting(pool, domains, want, pool.Replicas, false)
-		for ; left > 0; left-- {
-			best := roomiest(pool, domains, spare)
+		missing := countExisting(pool, domains, want, pool.Replicas, false)
+		for ; missing > 0; missing-- {
+			best := domainWithMostUnused(pool, domains, unused)
 			if best == "" {
 				break
 			}
 			want[best][pool.Name]++
-			spare[best] -= pool.VMs
+			unused[best] -= pool.VMs
 		}
-		keepExisting(pool, domains, want, left, true)
+		countExisting(pool, domains, want, missing, true)
 	}
 	return want
 }
 
-// keepExisting counts up to left groups that are there, stuck ones or the
-// others, best states first, and returns how many are still missing.
-func keepExisting(pool catalog.Pool, domains []Domain, want map[string]map[string]int, left int, stuck bool) int {
+// countExisting adds up to missing existing groups to want, either the stuck ones or
+// the others, serving ones first. It returns the number that is still missing.
+func countExisting(pool catalog.Pool, domains []Domain, want map[string]map[string]int, missing int, stuck bool) int {
 	for _, s := range []State{StateServing, StateLoading, StateSuspended, StateDraining} {
 		for _, d := range domains {
 			if !slices.Contains(pool.Places, d.Place) {
 				continue
 			}
 			for _, g := range d.Groups {
-				if left > 0 && g.Pool == pool.Name && g.State == s && g.Stuck == stuck {
+				if missing > 0 && g.Pool == pool.Name && g.State == s && g.Stuck == stuck {
 					want[d.Name][pool.Name]++
-					left--
+					missing--
 				}
 			}
 		}
 	}
-	return left
+	return missing
 }
 
-func roomiest(pool catalog.Pool, domains []Domain, spare map[string]int) string {
+// domainWithMostUnused returns the domain in the pool's places with the most unused
+// VMs, "" if none has enough for a group.
+func domainWithMostUnused(pool catalog.Pool, domains []Domain, unused map[string]int) string {
 	best := ""
 	for _, d := range domains {
-		if slices.Contains(pool.Places, d.Place) && spare[d.Name] >= pool.VMs && (best == "" || spare[d.Name] > spare[best]) {
+		if slices.Contains(pool.Places, d.Place) && unused[d.Name] >= pool.VMs && (best == "" || unused[d.Name] > unused[best]) {
 			best = d.Name
 		}
 	}
 	return best
 }
 
+// unusedVMs counts the VMs in no group that may get new work.
 func unusedVMs(d Domain) int {
 	n := 0
 	for name, record := range d.VMs {
--- a/internal/group/sim_test.go
+++ b/internal/group/sim_test.go
@@ -17,16 +17,16 @@
 	"pearlanding/internal/standin/platformfake"
 )
 
-// The simulation drives the real planner and the real stand-in engines through
-// two holders that may both believe they hold the domain, on a virtual clock.
-// Holders pause between check and order, writes lose their answers, orders arrive
-// late, VMs die, restart, freeze and come back, the platform's list lags, and
-// engines may ignore fences. A daemon dispatches on evidence like the real one.
+// The simulation runs the real planner against stand-in engines on a virtual clock,
+// with two daemons that may both consider themselves holder of the domain. Holders
+// pause between check and order, the answers to writes are lost, orders arrive late,
+// VMs die, restart, freeze and return, the platform's list lags, and engines may
+// ignore fences. Daemons dispatch on evidence as the router does.
 
 const (
-	simAge   = 1500 * time.Millisecond
-	simOrder = 500 * time.Millisecond
-	simHold  = 2 * time.Second
+	simEvidenceAge  = 1500 * time.Millisecond
+	simOrderTimeout = 500 * time.Millisecond
+	simLease        = 2 * time.Second
 )
 
 type simVM struct {
@@ -36,41 +36,41 @@
 	frozen bool
 }
 
-type simHolder struct {
-	self     Holder
-	current  Copy
-	verified time.Time
-	orderAt  time.Time
-	probes   map[string]Probe
-	since    map[string]time.Time
+type simReconciler struct {
+	self       Holder
+	current    Copy
+	verified   time.Time
+	orderFrom  time.Time
+	probes     map[string]ProbeState
+	stateSince map[string]time.Time
 }
 
-// simDispatcher is a daemon's view that requests are routed by.
+// simDispatcher is the state that one daemon routes requests by.
 type simDispatcher struct {
 	copy     Copy
 	evidence map[string]Evidence
-	probes   map[string]Probe
+	probes   map[string]ProbeState
 }
 
 type groupSim struct {
-	t           *rapid.T
-	now         time.Time
-	store       *platformfake.Store
-	vms         []*simVM
-	holders     []*simHolder
-	dispatchers []*simDispatcher
-	late        []func()
-	policy      Policy
-	pools       []catalog.Pool
-	ignoreFence bool
-	served      int
-	active      int
+	t             *rapid.T
+	now           time.Time
+	store         *platformfake.Store
+	vms           []*simVM
+	reconcilers   []*simReconciler
+	dispatchers   []*simDispatcher
+	delayedOrders []func()
+	policy        Policy
+	pools         []catalog.Pool
+	ignoreFence   bool
+	served        int
+	active        int
 }
 
 func newGroupSim(t *rapid.T) *groupSim {
 	s := &groupSim{t: t, now: time.Unix(5000, 0), store: platformfake.New(0, 0), ignoreFence: rapid.Bool().Draw(t, "engines ignore fences"),
 		policy: Policy{Rebuild: rapid.Bool().Draw(t, "rebuild"), DowntimeWeight: 1, StrandedWeight: 1,
-			EvidenceAge: simAge, OrderTimeout: simOrder, ReportLag: 500 * time.Millisecond},
+			EvidenceAge: simEvidenceAge, OrderTimeout: simOrderTimeout, ReportLag: 500 * time.Millisecond},
 		pools: []catalog.Pool{{Name: "p@1", Model: "m", Version: "1", VMs: 2, Replicas: 2, Places: []string{"here"}}}}
 	for i := range 5 {
 		name := fmt.Sprintf("vm%d", i)
@@ -82,17 +82,17 @@
 	value, _ := d.Encode()
 	_, _ = s.store.Create(context.Background(), Key("d"), value)
 	for i := range 2 {
-		s.holders = append(s.holders, &simHolder{self: Holder{Slot: fmt.Sprintf("h%d", i), Incarnation: "1"}, probes: map[string]Probe{}, since: map[string]time.Time{}})
-		s.dispatchers = append(s.dispatchers, &simDispatcher{evidence: map[string]Evidence{}, probes: map[string]Probe{}})
+		s.reconcilers = append(s.reconcilers, &simReconciler{self: Holder{Slot: fmt.Sprintf("h%d", i), Incarnation: "1"}, probes: map[string]ProbeState{}, stateSince: map[string]time.Time{}})
+		s.dispatchers = append(s.dispatchers, &simDispatcher{evidence: map[string]Evidence{}, probes: map[string]ProbeState{}})
 	}
 	return s
 }
 
 func (s *groupSim) advance() {
 	s.now = s.now.Add(time.Duration(rapid.SampledFrom([]int{50, 250, 700, 2600}).Draw(s.t, "ms")) * time.Millisecond)
-	for len(s.late) > 0 && rapid.Bool().Draw(s.t, "arrives") {
-		s.late[0]()
-		s.late = s.late[1:]
+	for len(s.delayedOrders) > 0 && rapid.Bool().Draw(s.t, "arrives") {
+		s.delayedOrders[0]()
+		s.delayedOrders = s.delayedOrders[1:]
 	}
 }
 
@@ -102,119 +102,119 @@
 	return s.vms[slices.IndexFunc(s.vms, func(v *simVM) bool { return v.name == name })]
 }
 
-func (s *groupSim) probeInto(probes map[string]Probe, names []string) {
+func (s *groupSim) probeInto(probes map[string]ProbeState, names []string) {
 	for _, name := range names {
 		v := s.vm(name)
 		if v.up && !v.frozen {
-			probes[name] = probes[name].Answered(v.engine.Status(), s.now)
+			probes[name] = probes[name].WithAnswer(v.engine.Status(), s.now)
 		} else {
-			probes[name] = probes[name].Failed(s.now, !v.up)
+			probes[name] = probes[name].WithFailure(s.now, !v.up)
 		}
 	}
 }
 
-// holder is the one that acts: mostly the active one, now and then the other,
-// which has been paused and believes that nothing has happened.
-func (s *groupSim) holder() *simHolder {
+// actingReconciler returns mostly the active reconciler and sometimes the other one,
+// which resumes after a pause with outdated state.
+func (s *groupSim) actingReconciler() *simReconciler {
 	if rapid.IntRange(0, 19).Draw(s.t, "stale") == 0 {
-		return s.holders[1-s.active]
+		return s.reconcilers[1-s.active]
 	}
-	return s.holders[s.active]
+	return s.reconcilers[s.active]
 }
 
-// hold proves or takes the hold, as holder.hold and takeOver do.
-func (s *groupSim) hold() {
-	h := s.holders[s.active]
+// ensureHolder does the same as reconciler.ensureHolder and takeOver.
+func (s *groupSim) ensureHolder() {
+	r := s.reconcilers[s.active]
 	obj, err := s.store.Get(context.Background(), Key("d"))
 	if err != nil {
 		return
 	}
 	d, _ := DecodeDomain(obj.Value)
-	h.current = Copy{obj.Version, d}
-	if d.Holder == h.self {
-		h.verified = s.now
+	r.current = Copy{obj.Version, d}
+	if d.Holder == r.self {
+		r.verified = s.now
 		return
 	}
 	previous := d.Holder
 	next := d.Clone()
-	next.Holder = h.self
-	if s.update(h, next) {
-		h.verified, h.orderAt = s.now, s.now
+	next.Holder = r.self
+	if s.update(r, next) {
+		r.verified, r.orderFrom = s.now, s.now
 		if previous.Slot != "" {
-			h.orderAt = s.now.Add(simHold + simOrder)
+			r.orderFrom = s.now.Add(simLease + simOrderTimeout)
 		}
 	}
 }
 
-// update writes a holder's next domain; the answer may be lost.
-func (s *groupSim) update(h *simHolder, next Domain) bool {
+// update writes a reconciler's next domain; the answer may be lost.
+func (s *groupSim) update(r *simReconciler, next Domain) bool {
 	value, err := next.Encode()
 	if err != nil {
 		s.t.Fatalf("plan breaks an invariant: %v", err)
 	}
-	version, err := s.store.Update(context.Background(), Key("d"), h.current.Version, value)
+	version, err := s.store.Update(context.Background(), Key("d"), r.current.Version, value)
 	if err != nil || rapid.IntRange(0, 9).Draw(s.t, "answer") == 0 {
 		return false
 	}
-	h.current = Copy{version, next}
+	r.current = Copy{version, next}
 	return true
 }
 
-// plan makes one pass of a holder with what it knows.
+// plan makes one planning pass of a reconciler on its current state.
 func (s *groupSim) plan() {
-	h := s.holder()
-	if h.verified.IsZero() {
+	r := s.actingReconciler()
+	if r.verified.IsZero() {
 		return
 	}
 	var names []string
-	for name := range h.current.Domain.VMs {
+	for name := range r.current.Domain.VMs {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	s.probeInto(h.probes, names)
+	s.probeInto(r.probes, names)
 	seen := map[string]time.Time{}
 	evidence := map[string]Evidence{}
-	for _, g := range h.current.Domain.Groups {
-		if at, ok := h.since[SinceKey(g)]; ok {
-			seen[SinceKey(g)] = at
+	for _, g := range r.current.Domain.Groups {
+		if at, ok := r.stateSince[StateKey(g)]; ok {
+			seen[StateKey(g)] = at
 		} else {
-			seen[SinceKey(g)] = s.now
+			seen[StateKey(g)] = s.now
 		}
-		evidence[g.ID] = Assess(g, h.probes, s.now, simAge)
+		evidence[g.ID] = Assess(g, r.probes, s.now, simEvidenceAge)
 	}
-	h.since = seen
+	r.stateSince = seen
 	list, err := s.store.VMs(context.Background(), "")
 	if err != nil {
 		list = nil
 	}
-	next, changed := Plan(Input{Domain: h.current.Domain, Pools: s.pools, Want: Allocate(s.pools, []Domain{h.current.Domain})["d"],
-		List: list, Probes: h.probes, Evidence: evidence, Since: h.since, OrderFrom: h.orderAt, Now: s.now}, s.policy)
+	next, changed := Plan(Input{Domain: r.current.Domain, Pools: s.pools, Want: Allocate(s.pools, []Domain{r.current.Domain})["d"],
+		VMList: list, Probes: r.probes, Evidence: evidence, StateSince: r.stateSince, OrderFrom: r.orderFrom, Now: s.now}, s.policy)
 	if changed {
-		s.update(h, next)
+		s.update(r, next)
 	}
 }
 
-// order sends what a holder last planned. The check is made right before, the
-// order may be in flight for up to the order timeout.
+// order sends the orders for a reconciler's current domain. The check is made right
+// before sending; an order may be in flight for up to the order timeout.
 func (s *groupSim) order() {
-	h := s.holder()
-	if s.now.Sub(h.verified) >= simHold || s.now.Before(h.orderAt) || h.verified.IsZero() {
+	r := s.actingReconciler()
+	if s.now.Sub(r.verified) >= simLease || s.now.Before(r.orderFrom) || r.verified.IsZero() {
 		return
 	}
-	orders := Orders(h.current.Domain, h.probes)
-	for _, name := range h.current.Domain.VMNames() {
+	orders := Orders(r.current.Domain, r.probes)
+	for _, name := range r.current.Domain.VMNames() {
 		assignment, wanted := orders[name]
 		if !wanted {
 			continue
 		}
-		v, sent, o := s.vm(name), s.now, engine.Order{Fence: h.current.Version, Assignment: assignment}
+		v, sent, o := s.vm(name), s.now, engine.Order{Fence: r.current.Version, Assignment: assignment}
 		deliver := func() {
-			if v.up && !v.frozen && s.now.Sub(sent) <= simOrder {
+			if v.up && !v.frozen && s.now.Sub(sent) <= simOrderTimeout {
 				v.engine.Order(o)
 			}
 		}
 		if rapid.Bool().Draw(s.t, "late") {
-			s.late = append(s.late, deliver)
+			s.delayedOrders = append(s.delayedOrders, deliver)
 		} else {
 			deliver()
 		}
@@ -225,8 +225,8 @@
 	return s.dispatchers[rapid.IntRange(0, len(s.dispatchers)-1).Draw(s.t, "daemon")]
 }
 
-// learn brings a daemon's copy of the domain up to date, or not for long.
-func (s *groupSim) learn() {
+// refreshDomain updates one daemon's copy of the domain; it may run rarely.
+func (s *groupSim) refreshDomain() {
 	d := s.dispatcher()
 	if obj, err := s.store.Get(context.Background(), Key("d")); err == nil && obj.Version > d.copy.Version {
 		domain, _ := DecodeDomain(obj.Value)
@@ -234,8 +234,8 @@
 	}
 }
 
-// look probes the serving groups that a daemon knows.
-func (s *groupSim) look() {
+// probeGroups probes the serving groups in one daemon's copy of the domain.
+func (s *groupSim) probeGroups() {
 	d := s.dispatcher()
 	for _, id := range d.copy.Domain.GroupIDs() {
 		g := d.copy.Domain.Groups[id]
@@ -245,29 +245,28 @@
 		for _, m := range g.Members {
 			s.probeInto(d.probes, []string{m.VM})
 		}
-		d.evidence[id] = Assess(g, d.probes, s.now, simAge)
+		d.evidence[id] = Assess(g, d.probes, s.now, simEvidenceAge)
 	}
 }
 
-// dispatch sends a request the way the router would, and judges by the engines'
-// own state whether a partially assembled group would serve it.
+// dispatch sends a request to each group that the router would consider and checks
+// by the engines' state that no partially assembled group serves it.
 func (s *groupSim) dispatch() {
 	d := s.dispatcher()
 	for _, id := range d.copy.Domain.GroupIDs() {
 		g := d.copy.Domain.Groups[id]
 		e, known := d.evidence[id]
-		if g.State != StateServing || !known || e.Epoch != g.Epoch || e.Ready.IsZero() || s.now.Sub(e.Ready) >= simAge {
+		if g.State != StateServing || !known || e.Epoch != g.Epoch || e.Ready.IsZero() || s.now.Sub(e.Ready) >= simEvidenceAge {
 			continue
 		}
-		s.judge(g)
+		s.checkServed(g)
 	}
 }
 
-// judge checks the request's fate at rank 0. An engine that is down, frozen or at
-// another epoch refuses or never answers; one that accepts must have a whole group
-// behind it, or notice: members down or restarted are noticed by the group itself.
-// What must never be is a member that works for another group or epoch meanwhile.
-func (s *groupSim) judge(g Group) {
+// checkServed checks a request that arrives at rank 0. An engine that is down, frozen
+// or at another epoch does not serve it. If it is served, no member may work for
+// another group or epoch; the group itself detects members that are down or restarted.
+func (s *groupSim) checkServed(g Group) {
 	lead := s.vm(g.Members[0].VM)
 	status := lead.engine.Status()
 	if !lead.up || lead.frozen || !memberReady(g, 0, status) {
@@ -278,7 +277,7 @@
 		v := s.vm(m.VM)
 		a := v.engine.Status().Assignment
 		if a == nil || !v.up {
-			continue // dead or restarted: the group is lost, and notices
+			continue // dead or restarted: detected by the group itself
 		}
 		if a.Group != g.ID || a.Epoch != g.Epoch {
 			s.t.Fatalf("group %s epoch %d is served while member %d (%s) belongs to %s epoch %d", g.ID, g.Epoch, rank, m.VM, a.Group, a.Epoch)
@@ -286,23 +285,23 @@
 	}
 }
 
-// falseAlarm lets a VM be silent for just long enough to be thought lost.
-func (s *groupSim) falseAlarm() {
+// freezeUntilLost freezes a VM just long enough for it to count as lost.
+func (s *groupSim) freezeUntilLost() {
 	v := s.pickVM()
 	v.frozen = true
 	for range 3 {
-		s.hold()
+		s.ensureHolder()
 		s.plan()
-		s.now = s.now.Add(simAge * 2 / 3)
+		s.now = s.now.Add(simEvidenceAge * 2 / 3)
 	}
 	s.plan()
 	v.frozen = false
 }
 
-// work lets the routing daemons look and dispatch without learning anything.
-func (s *groupSim) work() {
+// probeAndDispatch lets the daemons probe and dispatch on stale copies of the domain.
+func (s *groupSim) probeAndDispatch() {
 	for range s.dispatchers {
-		s.look()
+		s.probeGroups()
 	}
 	s.dispatch()
 }
@@ -324,9 +323,9 @@
 	s.store.SetVMs(rows)
 }
 
-// check is the standing invariant: the object holds no VM in two groups, and no
-// two engines of different groups claim the same rank's members whole.
-func (s *groupSim) check(t *rapid.T) {
+// checkStored checks after each step that the stored domain keeps its invariants, for
+// instance that no VM is in two groups.
+func (s *groupSim) checkStored(t *rapid.T) {
 	obj, err := s.store.Get(context.Background(), Key("d"))
 	if err != nil {
 		return
@@ -337,7 +336,8 @@
 	}
 }
 
-// TestNoPartialGroupServes is promises 1 and 2.
+// TestNoPartialGroupServes guards against requests served by a partially assembled
+// group and against a VM that belongs to two groups.
 func TestNoPartialGroupServes(t *testing.T) {
 	served := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -350,28 +350,28 @@
 		}
 		s.t = t
 		round := func() {
-			s.hold()
+			s.ensureHolder()
 			s.plan()
 			s.order()
-			s.learn()
-			s.look()
+			s.refreshDomain()
+			s.probeGroups()
 			s.dispatch()
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"":          s.check,
+			"":          s.checkStored,
 			"round":     act(round),
 			"round two": act(round),
 			"advance":   act(s.advance),
 			"advance 2": act(s.advance),
-			"hold":      act(s.hold),
+			"hold":      act(s.ensureHolder),
 			"plan":      act(s.plan),
 			"order":     act(s.order),
-			"learn":     act(s.learn),
-			"look":      act(s.look),
+			"learn":     act(s.refreshDomain),
+			"look":      act(s.probeGroups),
 			"dispatch":  act(s.dispatch),
-			"work":      act(s.work),
-			"work two":  act(s.work),
-			"alarm":     act(s.falseAlarm),
+			"work":      act(s.probeAndDispatch),
+			"work two":  act(s.probeAndDispatch),
+			"alarm":     act(s.freezeUntilLost),
 			"switch":    act(func() { s.active = 1 - s.active }),
 			"kill":      act(func() { s.pickVM().up = false }),
 			"restart":   act(s.restart),
@@ -382,6 +382,6 @@
 		served += s.served
 	})
 	if served == 0 {
-		t.Fatal("no request was ever served: the simulation shows nothing")
+		t.Fatal("no request was ever served: the simulation checked nothing")
 	}
 }
--- a/internal/group/life.go
+++ b/internal/group/state.go
@@ -7,37 +7,38 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is where a group stands in its life.
+// State is a state of a group's state machine; see Next.
 type State string
 
-// States of a group. Only a serving group gets new requests.
+// States of a group. Only a serving group receives new requests.
 const (
-	StateLoading   State = "loading"   // members are reserved and being ordered
-	StateServing   State = "serving"   // every member was read back at this epoch
-	StateSuspended State = "suspended" // the epoch is over: members are released
-	StateDraining  State = "draining"  // no new work, finishing what it has
-	StateRetiring  State = "retiring"  // members are being released
-	StateReleased  State = "released"  // gone: no longer in the object
+	StateLoading   State = "loading"   // members are reserved and receive their assignment
+	StateServing   State = "serving"   // every member was seen ready at this epoch
+	StateSuspended State = "suspended" // the epoch is over and members are released
+	StateDraining  State = "draining"  // finishes running requests, accepts no new ones
+	StateRetiring  State = "retiring"  // members are being released for other groups
+	StateReleased  State = "released"  // removed from the domain object
 )
 
-// Trigger is what moves a group on.
+// Trigger is an event that changes a group's state.
 type Trigger string
 
-// Triggers.
+// Triggers of the state machine.
 const (
-	TriggerVerified   Trigger = "verified"    // all members read back
+	TriggerVerified   Trigger = "verified"    // all members were seen ready
 	TriggerMemberLost Trigger = "member-lost" // dead, restarted or reassigned
-	TriggerDrain      Trigger = "drain"       // a member is to leave, or surplus
-	TriggerFinished   Trigger = "finished"    // a draining group has nothing left
+	TriggerDrain      Trigger = "drain"       // a member is leaving, or the group is surplus
+	TriggerFinished   Trigger = "finished"    // a draining group has no requests left
 	TriggerReplace    Trigger = "replace"     // a new epoch with another member
-	TriggerRetire     Trigger = "retire"      // give the VMs up
-	TriggerReleased   Trigger = "released"    // all members read back idle
+	TriggerRetire     Trigger = "retire"      // release the VMs for good
+	TriggerReleased   Trigger = "released"    // all members were seen without an assignment, or are gone
 )
 
-// ErrTrigger: the group's state does not permit the trigger.
-const ErrTrigger = errors.ConstError("group: trigger not permitted")
+// ErrTriggerNotPermitted is returned by Next if the state does not permit the trigger.
+const ErrTriggerNotPermitted = errors.ConstError("group: trigger not permitted")
 
-// Next returns the state after a trigger, by the group's state machine:
+// Next returns the state after a trigger, or s and an error that wraps
+// ErrTriggerNotPermitted:
 //
 //	loading ─verified→ serving ─member-lost→ suspended ─replace→ loading
 //	serving ─drain→ draining ─finished→ suspended
@@ -45,7 +46,7 @@
 func Next(s State, t Trigger) (State, error) {
 	m := newMachine(s)
 	if err := m.FireCtx(context.Background(), t); err != nil {
-		return s, errors.WithType(errors.Annotatef(err, "%s in state %s", t, s), ErrTrigger)
+		return s, errors.WithType(errors.Annotatef(err, "%s in state %s", t, s), ErrTriggerNotPermitted)
 	}
 	return m.MustState().(State), nil
 }
