--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -1,7 +1,7 @@
-// Package cluster is how daemons keep in touch: the messages between peers
-// (JSON-RPC over TCP), the table of who was heard when, and the spreading of
-// duties over the live daemons. A duty is only an assignment of effort; safety
-// never rests on who holds it.
+// Package cluster defines the messages between daemons (JSON-RPC over TCP) and the
+// assignment of duties to live daemons. A duty is a unit of background work, such as
+// probing one group. Duties only divide the work: no safety property depends on a
+// single daemon having a duty.
 package cluster
 
 import (
@@ -22,14 +22,14 @@
 	MethodAppend = "ledger.append"
 )
 
-// Handler answers the calls of peers. Methods run on many goroutines.
+// Handler answers the calls of peers. Its methods must be safe for concurrent use.
 type Handler interface {
 	Sync(ctx context.Context, req SyncRequest) (SyncReply, error)
 	Offer(ctx context.Context, head HeadCopy) (OfferReply, error)
 	Append(ctx context.Context, req AppendRequest) (AppendReply, error)
 }
 
-// Methods returns the handler's methods by name.
+// Methods returns the methods of h under their names in the peer protocol.
 func Methods(h Handler) handler.Map {
 	return handler.Map{
 		MethodSync:   handler.New(h.Sync),
@@ -38,67 +38,73 @@
 	}
 }
 
-// SyncRequest asks a peer for what it knows; From says what the asker has, so
-// that only what is newer comes back.
+// SyncRequest asks a peer for its state. The versions say what the caller already
+// has, so that the reply holds only newer objects.
 type SyncRequest struct {
 	Slot        string            `json:"slot"`
 	HeadVersion uint64            `json:"head_version"`
 	Domains     map[string]uint64 `json:"domains"` // object version by domain
 }
 
-// SyncReply is what a peer knows. Ages are in milliseconds before the reply was
-// made; the asker counts them from the moment it sent the request.
+// SyncReply is the state of a peer. Ages are relative to the time of the reply; the
+// caller counts them from the time it sent the request, so that no fact appears
+// younger than it is.
 type SyncReply struct {
 	Slot        string    `json:"slot"`
 	Incarnation string    `json:"incarnation"`
-	Revision    uint64    `json:"revision"` // applied by the peer
+	Revision    uint64    `json:"revision"` // revision that the peer has applied
 	HeadVersion uint64    `json:"head_version"`
 	Head        *HeadCopy `json:"head,omitempty"`
-	// HeardAges relays when the peer last heard each slot of the head, in slot
-	// order, one byte each in AgeUnits of the admission lease. It counts only for
-	// the same head, and lets few exchanges keep many daemons known as alive.
-	HeardAges   []byte         `json:"heard_ages,omitempty"`
-	PlatformAge int64          `json:"platform_age_ms"` // -1: no evidence
+	// ContactAges holds, for each slot of the head in slot order, the time since the
+	// peer's last contact with it, in units of the admission lease divided by
+	// ContactAgeUnits. It is valid only for the same head version. It lets a few
+	// exchanges keep many daemons known as alive.
+	ContactAges []byte         `json:"heard_ages,omitempty"`
+	PlatformAge int64          `json:"platform_age_ms"` // milliseconds since the freshest known read of the head; -1: none
 	Domains     []DomainReport `json:"domains,omitempty"`
 	Load        DaemonLoad     `json:"load"`
 }
 
-// AgeUnits is how finely relayed hearing ages divide the admission lease.
-const AgeUnits = 100
+// ContactAgeUnits is the number of units of ContactAges per admission lease.
+const ContactAgeUnits = 100
 
-// UnknownAge in HeardAges means older than can be said, or never.
-const UnknownAge = 255
+// UnknownContactAge in ContactAges means no contact, or one too old to be encoded.
+const UnknownContactAge = 255
 
-// HeadCopy is a relayed head object.
+// HeadCopy is a configuration head together with its object version.
 type HeadCopy struct {
 	Version uint64        `json:"version"`
 	Head    revision.Head `json:"head"`
 }
 
-// DomainReport relays a domain object, if the asker's is older, and evidence.
+// DomainReport relays the evidence on a domain's groups, and the domain object if the
+// caller's is older.
 type DomainReport struct {
 	Name    string          `json:"name"`
 	Version uint64          `json:"version"`
 	Domain  json.RawMessage `json:"domain,omitempty"`
-	// Packed is evidence of all groups of that version; see package control.
+	// Packed is the evidence on all groups of that version; package control defines
+	// the encoding.
 	Packed []byte `json:"packed,omitempty"`
-	// Wrong spells out the evidence that names lost or leaving members.
-	Wrong []EvidenceReport `json:"wrong,omitempty"`
+	// Abnormal is the full evidence on groups with lost or leaving members or an
+	// ended epoch.
+	Abnormal []EvidenceReport `json:"wrong,omitempty"`
 }
 
-// EvidenceReport is group evidence with its age.
+// EvidenceReport is the evidence on a group with its age.
 type EvidenceReport struct {
-	AgeMS    int64          `json:"age_ms"`
+	AgeMS    int64          `json:"age_ms"` // milliseconds since Evidence.Ready; -1: not ready
 	Evidence group.Evidence `json:"evidence"`
 }
 
-// DaemonLoad is what a daemon says of its own traffic, for shared limits.
+// DaemonLoad is a daemon's report of its own load, for limits shared by all daemons.
 type DaemonLoad struct {
-	// InUse is the number of requests in progress by workspace.
+	// InUse is the number of in-flight requests by workspace.
 	InUse map[string]int `json:"in_use,omitempty"`
 }
 
-// OfferReply acknowledges an offered head: the peer has applied Revision.
+// OfferReply acknowledges an offered head; Revision is the revision that the peer has
+// applied.
 type OfferReply struct {
 	Slot        string `json:"slot"`
 	Incarnation string `json:"incarnation"`
@@ -111,8 +117,8 @@
 	Records []ledger.Record `json:"records"`
 }
 
-// AppendReply holds, per record of the request, the entry that stands now.
+// AppendReply holds, for each record of the request, the entry now in the ledger.
 type AppendReply struct {
 	Entries []ledger.Entry `json:"entries"`
-	Full    bool           `json:"full,omitempty"` // ledger.ErrFull
+	Full    bool           `json:"full,omitempty"` // the append failed with ledger.ErrFull
 }
--- a/internal/cluster/duty_test.go
+++ b/internal/cluster/rendezvous_test.go
@@ -10,24 +10,24 @@
 	_ "pearlanding/internal/fixedseed"
 )
 
-func TestDutiesMoveOnlyFromTheSlotThatLeft(t *testing.T) {
+func TestRemovingSlotMovesOnlyItsDuties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "slots")
 		var slots []string
 		for i := range n {
 			slots = append(slots, fmt.Sprintf("d%d", i))
 		}
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
-		before := NewDuties(slots)
-		after := NewDuties(append(append([]string(nil), slots[:gone]...), slots[gone+1:]...))
+		removed := rapid.IntRange(0, n-1).Draw(t, "gone")
+		before := NewRendezvousHash(slots)
+		after := NewRendezvousHash(append(append([]string(nil), slots[:removed]...), slots[removed+1:]...))
 		for i := range 50 {
 			duty := fmt.Sprintf("probe/%d", i)
 			owner := before.Owner(duty)
 			must.True(t, before.Owns(owner, duty, 1))
-			if owner != slots[gone] {
+			if owner != slots[removed] {
 				must.Eq(t, owner, after.Owner(duty))
 			}
-			must.False(t, after.Owns(slots[gone], duty, n))
+			must.False(t, after.Owns(slots[removed], duty, n))
 		}
 	})
 }
@@ -38,7 +38,7 @@
 		slots = append(slots, fmt.Sprintf("entry-%d", i))
 	}
 	held := map[string]int{}
-	d := NewDuties(slots)
+	d := NewRendezvousHash(slots)
 	const duties = 9000
 	for i := range duties {
 		held[d.Owner(fmt.Sprintf("probe/rg-a.%d", i))]++
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestNobodyOwnsAmongNone(t *testing.T) {
-	must.Eq(t, "", NewDuties(nil).Owner("x"))
-	must.False(t, NewDuties(nil).Owns("a", "x", 1))
+func TestNoSlotsNoOwner(t *testing.T) {
+	must.Eq(t, "", NewRendezvousHash(nil).Owner("x"))
+	must.False(t, NewRendezvousHash(nil).Owns("a", "x", 1))
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -13,11 +13,12 @@
 	"pearlanding/internal/revision"
 )
 
-// The benchmarks give the slopes of docs/CAPACITY.md: what one snapshot and one
-// exchange cost over the number of daemons and of groups.
+// The benchmarks measure how the cost of a snapshot and of a sync exchange grows with
+// the number of daemons and groups, for docs/CAPACITY.md.
 
-// fleet is the control state of one daemon in a fleet that is all well.
-func fleet(daemons, groups, vmsPerGroup int) (*state, time.Time) {
+// newFleetState returns the control state of one daemon in a fleet without faults, and
+// the time that it is as of.
+func newFleetState(daemons, groups, vmsPerGroup int) (*state, time.Time) {
 	now := time.Now()
 	s := newState(Config{Slot: "d000", Incarnation: "i", SyncInterval: 250 * time.Millisecond, AdmissionLease: 2 * time.Second, EvidenceAge: 1500 * time.Millisecond}, now)
 	head := revision.NewHead()
@@ -30,7 +31,7 @@
 	head = head.WithAccepted()
 	s.observeHead(head, 10, now)
 	for i := 1; i < daemons; i++ {
-		s.hear(fmt.Sprintf("d%03d", i), revision.Hearing{Incarnation: "i", Revision: head.Revision, At: now})
+		s.recordContact(fmt.Sprintf("d%03d", i), revision.Hearing{Incarnation: "i", Revision: head.Revision, At: now})
 	}
 	s.platformRead(now)
 	const domains = 11
@@ -60,11 +61,11 @@
 
 var fleetSizes = []fleetSize{{9, 15, 4}, {39, 26, 16}, {98, 64, 16}, {390, 256, 16}}
 
-// BenchmarkSnapshot: what each change of the control state costs.
+// BenchmarkSnapshot measures the snapshot that follows each change of the state.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, now := fleet(f.daemons, f.groups, f.vms)
+			s, now := newFleetState(f.daemons, f.groups, f.vms)
 			previous := s.snapshot(now, nil)
 			b.ReportAllocs()
 			for range b.N {
@@ -74,12 +75,12 @@
 	}
 }
 
-// BenchmarkSyncExchange: one exchange of two daemons that know the same, with the
-// bytes of request and reply as they go over the wire.
+// BenchmarkSyncExchange measures one exchange between two daemons with the same state,
+// and the bytes of its request and reply on the wire.
 func BenchmarkSyncExchange(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, now := fleet(f.daemons, f.groups, f.vms)
+			s, now := newFleetState(f.daemons, f.groups, f.vms)
 			snap := s.snapshot(now, nil)
 			var bytes int
 			for range b.N {
@@ -88,7 +89,7 @@
 				var back cluster.SyncReply
 				_ = json.Unmarshal(reply, &back)
 				back.Slot = "d001"
-				s.synced(back, now, now)
+				s.observeSyncReply(back, now, now)
 				bytes = len(request) + len(reply)
 			}
 			b.ReportMetric(float64(bytes), "bytes/exchange")
@@ -96,11 +97,11 @@
 	}
 }
 
-// BenchmarkOwns: one question whether a duty is ours.
+// BenchmarkOwns measures one check whether this daemon owns a duty.
 func BenchmarkOwns(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, now := fleet(f.daemons, f.groups, f.vms)
+			s, now := newFleetState(f.daemons, f.groups, f.vms)
 			snap := s.snapshot(now, nil)
 			for range b.N {
 				snap.Owns("probe/dom1.12", 2)
@@ -109,11 +110,11 @@
 	}
 }
 
-// BenchmarkDomainObject: size and cost of one fabric domain's object.
+// BenchmarkDomainObject measures the size and encoding cost of a domain object.
 func BenchmarkDomainObject(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, _ := fleet(f.daemons, f.groups, f.vms)
+			s, _ := newFleetState(f.daemons, f.groups, f.vms)
 			d := s.domains["dom1"].Domain
 			var size int
 			for range b.N {
@@ -128,11 +129,11 @@
 	}
 }
 
-// BenchmarkHead: size and cost of the configuration head over daemons.
+// BenchmarkHead measures the size and encoding cost of the configuration head.
 func BenchmarkHead(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, _ := fleet(f.daemons, f.groups, f.vms)
+			s, _ := newFleetState(f.daemons, f.groups, f.vms)
 			var size int
 			for range b.N {
 				value, err := s.head.Encode()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -11,24 +11,24 @@
 	"pearlanding/internal/revision"
 )
 
-// Control is the door to the control state: events go in, snapshots come out.
-// Safe for concurrent use; Run must be running.
+// Control applies events to the control state and publishes snapshots of it. It is
+// safe for concurrent use. Events take effect only while Run runs.
 type Control struct {
-	cfg     Config
-	events  chan func(*state, time.Time)
-	current atomic.Pointer[Snapshot]
-	load    func() cluster.DaemonLoad
-	done    chan struct{}
-	now     func() time.Time // replaced by tests
+	cfg       Config
+	events    chan func(*state, time.Time)
+	current   atomic.Pointer[Snapshot]
+	localLoad func() cluster.DaemonLoad
+	done      chan struct{}
+	now       func() time.Time // replaced by tests
 }
 
-// eventQueue is how many events may wait; senders wait beyond.
-const eventQueue = 1024
+// eventQueueSize is the number of events that may be queued before senders block.
+const eventQueueSize = 1024
 
-// New returns a control that knows nothing and so admits nothing. load reports
-// this daemon's own traffic to peers.
+// New returns a Control without any known state, which therefore admits no requests.
+// load returns this daemon's own load, which is reported to peers.
 func New(cfg Config, load func() cluster.DaemonLoad) *Control {
-	c := &Control{cfg: cfg, events: make(chan func(*state, time.Time), eventQueue), load: load, done: make(chan struct{}), now: time.Now}
+	c := &Control{cfg: cfg, events: make(chan func(*state, time.Time), eventQueueSize), localLoad: load, done: make(chan struct{}), now: time.Now}
 	c.current.Store(newState(cfg, time.Now()).snapshot(time.Now(), nil))
 	return c
 }
@@ -36,22 +36,22 @@
 // Snapshot returns the newest snapshot.
 func (c *Control) Snapshot() *Snapshot { return c.current.Load() }
 
-// tick is how often the state is judged anew without any event.
-const tick = 50 * time.Millisecond
+// refreshInterval is the interval of snapshots when there are no events.
+const refreshInterval = 50 * time.Millisecond
 
-// publishShare bounds the processor time that building snapshots may take: after
-// each, the loop gathers events for that many times as long as it took.
-const publishShare = 200
+// gatherFactor bounds the processor time spent on snapshots: after each one, the loop
+// gathers events for this many times as long as it took to build.
+const gatherFactor = 200
 
-// Run owns the control state until ctx ends.
+// Run owns the control state and publishes snapshots until ctx ends.
 func (c *Control) Run(ctx context.Context) {
 	defer close(c.done)
 	s := newState(c.cfg, time.Now())
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
-	rest := time.NewTimer(0)
-	defer rest.Stop()
-	changed, rested := true, false
+	gather := time.NewTimer(0)
+	defer gather.Stop()
+	changed, gathered := true, false
 	for {
 		select {
 		case event := <-c.events:
@@ -60,22 +60,22 @@
 		case <-ticker.C:
 			s.prune()
 			changed = true
-		case <-rest.C:
-			rested = true
+		case <-gather.C:
+			gathered = true
 		case <-ctx.Done():
 			return
 		}
-		if changed && rested {
-			c.drain(s)
-			rest.Reset(c.restAfter(c.publish(s)))
-			changed, rested = false, false
+		if changed && gathered {
+			c.applyQueued(s)
+			gather.Reset(c.gatherTime(c.publish(s)))
+			changed, gathered = false, false
 		}
 	}
 }
 
-// drain applies what else waits, so that a burst makes one snapshot.
-func (c *Control) drain(s *state) {
-	for range eventQueue {
+// applyQueued applies the queued events, so that a burst results in one snapshot.
+func (c *Control) applyQueued(s *state) {
+	for range eventQueueSize {
 		select {
 		case event := <-c.events:
 			event(s, time.Now())
@@ -85,14 +85,14 @@
 	}
 }
 
-// restAfter returns for how long events are gathered after a snapshot that took so long. The
-// admission lease is renewed in snapshots only, so one that took long on a busy machine must not
-// hold the next one up for longer than peers' answers are apart.
-func (c *Control) restAfter(took time.Duration) time.Duration {
-	return min(took*publishShare, c.cfg.SyncInterval)
+// gatherTime returns how long events are gathered after a snapshot that took the given
+// time to build. It is at most the sync interval, because the admission lease is renewed
+// only in snapshots: after a slow one on a busy machine the lease would expire.
+func (c *Control) gatherTime(took time.Duration) time.Duration {
+	return min(took*gatherFactor, c.cfg.SyncInterval)
 }
 
-// publish builds and stores a snapshot and returns how long that took.
+// publish builds and publishes a snapshot and returns how long that took.
 func (c *Control) publish(s *state) time.Duration {
 	start := c.now()
 	previous := c.current.Load()
@@ -101,19 +101,19 @@
 	return c.now().Sub(start)
 }
 
-// post hands an event to the loop; it is dropped when the loop has ended.
-func (c *Control) post(event func(*state, time.Time)) {
+// enqueue passes an event to the loop. The event is dropped if the loop has ended.
+func (c *Control) enqueue(event func(*state, time.Time)) {
 	select {
 	case c.events <- event:
 	case <-c.done:
 	}
 }
 
-// call runs an event and waits until it has run; its snapshot may follow a little
-// later. False: the loop ended or ctx did.
+// call passes an event to the loop and waits until it has been applied; the snapshot
+// with its effect may be published later. It returns false if the loop or ctx ended.
 func (c *Control) call(ctx context.Context, event func(*state, time.Time)) bool {
 	ran := make(chan struct{})
-	c.post(func(s *state, now time.Time) {
+	c.enqueue(func(s *state, now time.Time) {
 		event(s, now)
 		close(ran)
 	})
@@ -127,7 +127,8 @@
 	return true
 }
 
-// ObserveHead hands in a head as read from the platform by a read sent at asOf.
+// ObserveHead applies a head that was read from the platform; asOf is the time at which
+// the read was sent.
 func (c *Control) ObserveHead(ctx context.Context, head revision.Head, version uint64, asOf time.Time) {
 	c.call(ctx, func(s *state, now time.Time) {
 		s.observeHead(head, version, now)
@@ -137,39 +138,43 @@
 	})
 }
 
-// Offer applies a head that a peer wrote, and answers once traffic sees it.
+// Offer applies a head that a peer wrote and returns once the published snapshot
+// contains it. It returns ctx's error if ctx ends first.
 func (c *Control) Offer(ctx context.Context, h cluster.HeadCopy) (cluster.OfferReply, error) {
 	c.call(ctx, func(s *state, now time.Time) { s.observeHead(h.Head, h.Version, now) })
 	snap, err := c.Await(ctx, func(s *Snapshot) bool { return s.HeadVersion >= h.Version })
 	return cluster.OfferReply{Slot: snap.Slot, Incarnation: snap.Incarnation, Revision: snap.Head.Revision}, err
 }
 
-// Acknowledged notes a peer's answer to an offer that was sent at the given time.
+// Acknowledged records a peer's reply to an offer.
 func (c *Control) Acknowledged(r cluster.OfferReply) {
-	c.post(func(s *state, now time.Time) {
+	c.enqueue(func(s *state, now time.Time) {
 		if s.head.Members[r.Slot].Incarnation == r.Incarnation {
 			s.acks.Note(r.Slot, r.Incarnation, r.Revision, now)
 		}
 	})
 }
 
-// Synced hands in a peer's reply to a request sent at the given time.
+// Synced applies a peer's reply to a sync request that was sent at the given time.
 func (c *Control) Synced(r cluster.SyncReply, sent time.Time) {
-	c.post(func(s *state, now time.Time) { s.synced(r, sent, now) })
+	c.enqueue(func(s *state, now time.Time) { s.observeSyncReply(r, sent, now) })
 }
 
-// Refused notes that a slot's address refused a connection.
+// Refused records that the address of a slot's daemon refused a connection at the
+// given time.
 func (c *Control) Refused(slot string, at time.Time) {
-	c.post(func(s *state, _ time.Time) { s.refused(slot, at) })
+	c.enqueue(func(s *state, _ time.Time) { s.observeRefusal(slot, at) })
 }
 
-// Stop makes this daemon admit nothing more and give its duties up.
+// Stop makes this daemon admit no more requests and hand over its duties. It returns
+// once the published snapshot says so, or when ctx ends.
 func (c *Control) Stop(ctx context.Context) {
 	c.call(ctx, func(s *state, _ time.Time) { s.stopping = true })
 	_, _ = c.Await(ctx, func(s *Snapshot) bool { return s.Stopping })
 }
 
-// Await waits for a snapshot that satisfies ok and returns the newest.
+// Await waits until the newest snapshot satisfies ok and returns it. If ctx ends first,
+// it returns the newest snapshot and ctx's error.
 func (c *Control) Await(ctx context.Context, ok func(*Snapshot) bool) (*Snapshot, error) {
 	for {
 		s := c.Snapshot()
@@ -184,17 +189,17 @@
 	}
 }
 
-// Sync answers a peer from the newest snapshot.
+// Sync answers a peer's sync request from the newest snapshot; the error is always nil.
 func (c *Control) Sync(_ context.Context, req cluster.SyncRequest) (cluster.SyncReply, error) {
 	reply := c.Snapshot().reply(req, time.Now(), c.cfg)
-	reply.Load = c.load()
+	reply.Load = c.localLoad()
 	return reply, nil
 }
 
-// Request is what this daemon asks a peer.
+// Request returns the sync request to send to peers.
 func (c *Control) Request() cluster.SyncRequest { return c.Snapshot().request() }
 
-// The methods below are group.View.
+// The methods below implement group.View.
 
 // Domains implements group.View.
 func (c *Control) Domains() map[string]group.Copy { return c.Snapshot().Domains }
@@ -210,12 +215,12 @@
 
 // PublishDomain implements group.View.
 func (c *Control) PublishDomain(name string, copied group.Copy) {
-	c.post(func(s *state, now time.Time) { s.observeDomain(name, copied, now) })
+	c.enqueue(func(s *state, now time.Time) { s.observeDomain(name, copied, now) })
 }
 
 // PublishEvidence implements group.View.
 func (c *Control) PublishEvidence(list []group.Evidence) {
-	c.post(func(s *state, now time.Time) {
+	c.enqueue(func(s *state, now time.Time) {
 		for _, e := range list {
 			s.observeEvidence(e, now)
 		}
--- a/internal/control/pack.go
+++ b/internal/control/pack.go
@@ -8,28 +8,28 @@
 	"pearlanding/internal/group"
 )
 
-// Evidence about all groups of a domain is relayed packed, by the order of the
-// groups in one version of the domain object: the version says which groups and
-// epochs are meant. Only groups with something wrong are spelled out as well.
+// Evidence on all groups of a domain is relayed in packed form, one entry per group in
+// the order of GroupIDs. The version of the domain object determines the groups and
+// epochs. Evidence with lost or leaving members or an ended epoch is also sent in full.
 //
-//	byte 0     age in units of the evidence age / ageUnits, rounded up; noAge: none
+//	byte 0     age in units of the evidence age / ageUnits, rounded up; unknownAge: none
 //	bytes 1-2  running, 3-4 queued, 5-6 slots, big endian, capped
 const (
-	packedSize = 7
-	ageUnits   = 200
-	noAge      = 255
+	packedEntrySize = 7
+	ageUnits        = 200
+	unknownAge      = 255
 )
 
-// pack writes the evidence of a domain's groups.
-func pack(d group.Domain, evidence map[string]group.Evidence, now time.Time, maxAge time.Duration) []byte {
+// packEvidence encodes the evidence on a domain's groups.
+func packEvidence(d group.Domain, evidence map[string]group.Evidence, now time.Time, maxAge time.Duration) []byte {
 	ids := d.GroupIDs()
-	out := make([]byte, 0, packedSize*len(ids))
+	out := make([]byte, 0, packedEntrySize*len(ids))
 	unit := maxAge / ageUnits
 	for _, id := range ids {
 		e, known := evidence[id]
-		age := byte(noAge)
+		age := byte(unknownAge)
 		if known && e.Epoch == d.Groups[id].Epoch && !e.Ready.IsZero() {
-			if units := (max(now.Sub(e.Ready), 0) + unit - 1) / unit; units < noAge {
+			if units := (max(now.Sub(e.Ready), 0) + unit - 1) / unit; units < unknownAge {
 				age = byte(units)
 			}
 		}
@@ -41,18 +41,19 @@
 	return out
 }
 
-// unpack reads evidence of a domain's groups that was packed for the same version,
-// with ages counted from when it was asked for. Data of another length is ignored.
-func unpack(d group.Domain, data []byte, sent time.Time, maxAge time.Duration) []group.Evidence {
+// unpackEvidence decodes evidence that was packed for the same version of the domain
+// object; sent is when it was requested, from which ages are counted. It returns nil if
+// the length of data does not match the number of groups.
+func unpackEvidence(d group.Domain, data []byte, sent time.Time, maxAge time.Duration) []group.Evidence {
 	ids := d.GroupIDs()
-	if len(data) != packedSize*len(ids) {
+	if len(data) != packedEntrySize*len(ids) {
 		return nil
 	}
 	unit := maxAge / ageUnits
 	var out []group.Evidence
 	for i, id := range ids {
-		entry := data[i*packedSize : (i+1)*packedSize]
-		if entry[0] == noAge {
+		entry := data[i*packedEntrySize : (i+1)*packedEntrySize]
+		if entry[0] == unknownAge {
 			continue
 		}
 		number := func(at int) int { return int(binary.BigEndian.Uint16(entry[at:])) }
@@ -62,8 +63,9 @@
 	return out
 }
 
-// wrong lists the evidence that says more than readiness and load.
-func wrong(d group.Domain, evidence map[string]group.Evidence, now time.Time) []cluster.EvidenceReport {
+// abnormalEvidence returns the evidence that the packed form can't express: lost or
+// leaving members and ended epochs.
+func abnormalEvidence(d group.Domain, evidence map[string]group.Evidence, now time.Time) []cluster.EvidenceReport {
 	var out []cluster.EvidenceReport
 	for id := range d.Groups {
 		e, known := evidence[id]
--- a/internal/control/pack_test.go
+++ b/internal/control/pack_test.go
@@ -12,9 +12,9 @@
 	"pearlanding/internal/group"
 )
 
-// TestPackedEvidenceNeverGetsYounger: what comes out was said of the same epoch, is
-// at least as old as what went in, and is off by at most a unit.
-func TestPackedEvidenceNeverGetsYounger(t *testing.T) {
+// Unpacked evidence is for the same epoch and at least as old as the packed evidence,
+// by at most one unit.
+func TestPackedEvidenceIsNeverYounger(t *testing.T) {
 	const maxAge = 1500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(7000, 0)
@@ -29,7 +29,7 @@
 					Running: rapid.IntRange(0, 1<<17).Draw(t, "running"), Slots: 8}
 			}
 		}
-		for _, e := range unpack(d, pack(d, evidence, now, maxAge), now, maxAge) {
+		for _, e := range unpackEvidence(d, packEvidence(d, evidence, now, maxAge), now, maxAge) {
 			in := evidence[e.Group]
 			must.Eq(t, in.Epoch, e.Epoch)
 			must.Eq(t, d.Groups[e.Group].Epoch, e.Epoch)
@@ -43,6 +43,6 @@
 func TestPackedEvidenceOfAnotherVersionIsIgnored(t *testing.T) {
 	d := group.NewDomain("d", "here")
 	d.Groups["d.1"] = group.Group{ID: "d.1", Epoch: 1}
-	must.SliceEmpty(t, unpack(d, make([]byte, packedSize*2), time.Unix(1, 0), time.Second))
-	must.SliceEmpty(t, unpack(d, []byte{1}, time.Unix(1, 0), time.Second))
+	must.SliceEmpty(t, unpackEvidence(d, make([]byte, packedEntrySize*2), time.Unix(1, 0), time.Second))
+	must.SliceEmpty(t, unpackEvidence(d, []byte{1}, time.Unix(1, 0), time.Second))
 }
--- a/internal/control/sim_test.go
+++ b/internal/control/sim_test.go
@@ -11,11 +11,10 @@
 	"pearlanding/internal/revision"
 )
 
-// The simulation drives the real control state of a few daemons with random
-// event orders on a virtual clock: configuration changes, exchanges that take
-// time, partitions, platform outages, kills, restarts, pauses and removals. The
-// invariant is the promise: once any daemon knows a revision as accepted, no
-// process admits requests under an older one.
+// The simulation runs the real control state of a few daemons on a virtual clock with
+// random sequences of configuration changes, delayed exchanges, partitions, platform
+// outages, kills, restarts, pauses and removals. The invariant: once any daemon knows
+// that a revision is accepted, no process admits requests under an older one.
 
 const (
 	simLease = 2 * time.Second
@@ -31,49 +30,49 @@
 }
 
 type sim struct {
-	t          *rapid.T
-	now        time.Time
-	head       revision.Head
-	version    uint64
-	outage     bool
-	nodes      []*simNode
-	cutPeer    map[[2]int]bool
-	cutStore   map[int]bool
-	accepted   uint64
-	births     int
-	inFlight   []simReply
-	acceptedBy string
+	t                *rapid.T
+	now              time.Time
+	head             revision.Head
+	version          uint64
+	outage           bool
+	nodes            []*simNode
+	peerPartitioned  map[[2]int]bool
+	storeUnreachable map[int]bool
+	accepted         uint64
+	processes        int
+	inFlight         []simReply
+	acceptedBy       string
 }
 
-// simReply is an answer on its way.
+// simReply is a sync reply in flight.
 type simReply struct {
 	to    int
-	owner *state // the process that asked
+	owner *state // the process that sent the request
 	reply cluster.SyncReply
 	sent  time.Time
 }
 
 func newSim(t *rapid.T, n int) *sim {
-	s := &sim{t: t, now: time.Unix(1000, 0), head: revision.NewHead(), cutPeer: map[[2]int]bool{}, cutStore: map[int]bool{}}
+	s := &sim{t: t, now: time.Unix(1000, 0), head: revision.NewHead(), peerPartitioned: map[[2]int]bool{}, storeUnreachable: map[int]bool{}}
 	for i := range n {
 		s.nodes = append(s.nodes, &simNode{cfg: Config{Slot: fmt.Sprintf("d%d", i), SyncInterval: simSync, AdmissionLease: simLease, EvidenceAge: time.Second}})
 		if i == n-1 && n > 2 && rapid.Bool().Draw(t, "last one joins later") {
 			s.nodes[i].state = newState(s.nodes[i].cfg, s.now)
 			continue
 		}
-		s.boot(i)
+		s.startProcess(i)
 	}
 	return s
 }
 
-func (s *sim) boot(i int) {
+func (s *sim) startProcess(i int) {
 	n := s.nodes[i]
-	s.births++
-	n.cfg.Incarnation = fmt.Sprintf("inc%d", s.births)
+	s.processes++
+	n.cfg.Incarnation = fmt.Sprintf("inc%d", s.processes)
 	n.state, n.running, n.paused = newState(n.cfg, s.now), true, false
 	n.snap = nil
 	s.refresh(i)
-	s.join(i)
+	s.register(i)
 }
 
 func (s *sim) refresh(i int) {
@@ -84,10 +83,10 @@
 	}
 }
 
-func (s *sim) canStore(i int) bool { return s.up(i) && !s.outage && !s.cutStore[i] }
-func (s *sim) up(i int) bool       { return s.nodes[i].running && !s.nodes[i].paused }
+func (s *sim) canReachStore(i int) bool { return s.isUp(i) && !s.outage && !s.storeUnreachable[i] }
+func (s *sim) isUp(i int) bool          { return s.nodes[i].running && !s.nodes[i].paused }
 
-// write makes one conditional update from a linearizable read.
+// write makes one conditional update that is based on a linearizable read.
 func (s *sim) write(i int, next revision.Head) {
 	s.head = next
 	s.version++
@@ -101,9 +100,9 @@
 	s.refresh(i)
 }
 
-func (s *sim) join(i int) {
+func (s *sim) register(i int) {
 	n := s.nodes[i]
-	if s.canStore(i) && s.head.Members[n.cfg.Slot].Incarnation != n.cfg.Incarnation {
+	if s.canReachStore(i) && s.head.Members[n.cfg.Slot].Incarnation != n.cfg.Incarnation {
 		s.write(i, s.head.WithMember(n.cfg.Slot, revision.Member{Incarnation: n.cfg.Incarnation, Peer: n.cfg.Slot}))
 	}
 }
@@ -114,37 +113,37 @@
 	ms := rapid.SampledFrom([]int{10, 100, 250, 600, 1100, 2600}).Draw(s.t, "ms")
 	s.now = s.now.Add(time.Duration(ms) * time.Millisecond)
 	for i := range s.nodes {
-		if s.up(i) {
+		if s.isUp(i) {
 			s.refresh(i)
 		}
 	}
 }
 
 func (s *sim) change() {
-	if i := s.pick(); s.canStore(i) {
+	if i := s.pick(); s.canReachStore(i) {
 		s.write(i, s.head.WithDoc(s.head.Doc, revision.Change{}))
 	}
 }
 
 func (s *sim) poll() {
-	if i := s.pick(); s.canStore(i) {
-		s.join(i)
+	if i := s.pick(); s.canReachStore(i) {
+		s.register(i)
 		s.read(i)
 	}
 }
 
-// ask sends a sync request; the answer is made now and delivered later or never.
-func (s *sim) ask() {
+// startSync sends a sync request. The reply is built now and delivered later or never.
+func (s *sim) startSync() {
 	i, j := s.pick(), s.pick()
-	if i == j || !s.up(i) {
+	if i == j || !s.isUp(i) {
 		return
 	}
 	asker := s.nodes[i].state
 	switch peer := s.nodes[j]; {
 	case !peer.running:
-		asker.refused(peer.cfg.Slot, s.now)
+		asker.observeRefusal(peer.cfg.Slot, s.now)
 		s.refresh(i)
-	case peer.paused || s.cutPeer[[2]int{min(i, j), max(i, j)}]:
+	case peer.paused || s.peerPartitioned[[2]int{min(i, j), max(i, j)}]:
 	default:
 		s.refresh(j)
 		reply := peer.snap.reply(s.nodes[i].snap.request(), s.now, peer.cfg)
@@ -155,18 +154,18 @@
 	}
 }
 
-// syncAll lets every pair that can exchange do so at once.
+// syncAll makes every pair of connected daemons exchange without delay.
 func (s *sim) syncAll() {
 	for i := range s.nodes {
 		for j := range s.nodes {
-			if i == j || !s.up(i) || s.nodes[j].paused || s.cutPeer[[2]int{min(i, j), max(i, j)}] {
+			if i == j || !s.isUp(i) || s.nodes[j].paused || s.peerPartitioned[[2]int{min(i, j), max(i, j)}] {
 				continue
 			}
 			if !s.nodes[j].running {
-				s.nodes[i].state.refused(s.nodes[j].cfg.Slot, s.now)
+				s.nodes[i].state.observeRefusal(s.nodes[j].cfg.Slot, s.now)
 			} else {
 				s.refresh(j)
-				s.nodes[i].state.synced(s.nodes[j].snap.reply(s.nodes[i].snap.request(), s.now, s.nodes[j].cfg), s.now, s.now)
+				s.nodes[i].state.observeSyncReply(s.nodes[j].snap.reply(s.nodes[i].snap.request(), s.now, s.nodes[j].cfg), s.now, s.now)
 			}
 			s.refresh(i)
 		}
@@ -179,52 +178,52 @@
 	}
 	r := s.inFlight[0]
 	s.inFlight = s.inFlight[1:]
-	if n := s.nodes[r.to]; s.up(r.to) && n.state == r.owner {
-		n.state.synced(r.reply, r.sent, s.now)
+	if n := s.nodes[r.to]; s.isUp(r.to) && n.state == r.owner {
+		n.state.observeSyncReply(r.reply, r.sent, s.now)
 		s.refresh(r.to)
 	}
 }
 
-func (s *sim) toggleCut() {
+func (s *sim) togglePeerPartition() {
 	i, j := s.pick(), s.pick()
 	key := [2]int{min(i, j), max(i, j)}
-	s.cutPeer[key] = !s.cutPeer[key]
+	s.peerPartitioned[key] = !s.peerPartitioned[key]
 }
 
-func (s *sim) toggleStore() {
+func (s *sim) toggleStoreAccess() {
 	i := s.pick()
-	s.cutStore[i] = !s.cutStore[i]
+	s.storeUnreachable[i] = !s.storeUnreachable[i]
 }
 
 func (s *sim) kill()    { s.nodes[s.pick()].running = false }
-func (s *sim) restart() { s.boot(s.pick()) }
+func (s *sim) restart() { s.startProcess(s.pick()) }
 
 func (s *sim) togglePause() {
 	i := s.pick()
 	s.nodes[i].paused = !s.nodes[i].paused
-	if s.up(i) {
+	if s.isUp(i) {
 		s.refresh(i)
 	}
 }
 
 func (s *sim) recordAccepted() {
 	i := s.pick()
-	if s.canStore(i) && s.nodes[i].snap.AcceptedUpTo >= s.head.Revision && s.head.Accepted < s.head.Revision {
+	if s.canReachStore(i) && s.nodes[i].snap.AcceptedUpTo >= s.head.Revision && s.head.Accepted < s.head.Revision {
 		s.write(i, s.head.WithAccepted())
 	}
 }
 
-// remove takes a silent slot out without any word that it has stopped.
+// remove removes a slot without confirmation that its process has stopped.
 func (s *sim) remove() {
 	i, j := s.pick(), s.pick()
-	if _, member := s.head.Members[s.nodes[j].cfg.Slot]; i != j && member && s.canStore(i) {
+	if _, member := s.head.Members[s.nodes[j].cfg.Slot]; i != j && member && s.canReachStore(i) {
 		s.write(i, s.head.WithoutMember(s.nodes[j].cfg.Slot, false))
 	}
 }
 
-// check is the invariant: what is accepted is in force wherever requests are
-// admitted. A paused process counts, since it may wake at any moment.
-func (s *sim) check(t *rapid.T) {
+// checkAdmission checks that an accepted revision is in force wherever requests are
+// admitted. Paused processes count because they may resume at any time.
+func (s *sim) checkAdmission(t *rapid.T) {
 	for _, n := range s.nodes {
 		if n.running && n.snap.MayAdmit(s.now) && n.snap.Head.Revision < s.accepted {
 			t.Fatalf("%s (paused %t) admits under revision %d; %d was accepted by %s",
@@ -233,8 +232,8 @@
 	}
 }
 
-// TestAcceptedIsInForceEverywhere is promise 8: an accepted configuration is in
-// force everywhere and never reverts.
+// TestAcceptedIsInForceEverywhere guards against an accepted configuration that is not
+// in force at every daemon or that reverts.
 func TestAcceptedIsInForceEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.IntRange(2, 5).Draw(t, "daemons"))
@@ -242,33 +241,33 @@
 			return func(t *rapid.T) { s.t = t; f() }
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"":               s.check,
+			"":               s.checkAdmission,
 			"advance":        act(s.advance),
 			"advance again":  act(s.advance),
 			"change":         act(s.change),
 			"poll":           act(s.poll),
-			"ask":            act(s.ask),
+			"ask":            act(s.startSync),
 			"sync all":       act(s.syncAll),
 			"deliver":        act(s.deliver),
-			"cut peers":      act(s.toggleCut),
-			"cut store":      act(s.toggleStore),
+			"cut peers":      act(s.togglePeerPartition),
+			"cut store":      act(s.toggleStoreAccess),
 			"outage":         act(func() { s.outage = !s.outage }),
 			"kill":           act(s.kill),
 			"restart":        act(s.restart),
 			"pause":          act(s.togglePause),
 			"accept":         act(s.recordAccepted),
 			"remove":         act(s.remove),
-			"revision grows": act(s.neverBack),
+			"revision grows": act(s.replayOldHead),
 		})
 	})
 }
 
-// neverBack hands a node an old head, as a lagging read would, and checks that
-// nothing is undone.
-func (s *sim) neverBack() {
+// replayOldHead applies an old head to a node, as a stale read would, and checks that
+// its revision does not go back.
+func (s *sim) replayOldHead() {
 	i := s.pick()
 	n := s.nodes[i]
-	if !s.up(i) {
+	if !s.isUp(i) {
 		return
 	}
 	before := n.state.head.Revision
--- a/internal/control/slow_snapshot_test.go
+++ b/internal/control/slow_snapshot_test.go
@@ -12,18 +12,18 @@
 	"pearlanding/internal/revision"
 )
 
-// Guards against a daemon that admits nothing although all its peers answer: on a busy machine a
-// snapshot took some 10 ms of wall time, the loop gathered events for 200 times as long, and
-// the admission lease, which ends after 2 s, was renewed in no snapshot meanwhile.
+// Guards against a daemon that admits no requests although all its peers answer: on a
+// busy machine a snapshot took about 10 ms, the loop then gathered events for 200 times as
+// long, and the 2 s admission lease expired before the next snapshot renewed it.
 func TestAdmissionOutlastsASlowSnapshot(t *testing.T) {
 	for _, took := range []time.Duration{time.Millisecond, 15 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(took.String(), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { admitsWhileSnapshotsTake(t, took) })
+			synctest.Test(t, func(t *testing.T) { checkAdmitsWithSnapshotTime(t, took) })
 		})
 	}
 }
 
-func admitsWhileSnapshotsTake(t *testing.T, took time.Duration) {
+func checkAdmitsWithSnapshotTime(t *testing.T, took time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	const sync, lease = 250 * time.Millisecond, 2 * time.Second
 	c := New(Config{Slot: "a", Incarnation: "i", SyncInterval: sync, AdmissionLease: lease, EvidenceAge: time.Second},
@@ -45,12 +45,12 @@
 	c.ObserveHead(ctx, head, 1, time.Now())
 	_, err := c.Await(ctx, func(s *Snapshot) bool { return s.MayAdmit(time.Now()) })
 	must.NoError(t, err)
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); { // the platform is away
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); { // during an outage of the platform
 		for _, slot := range []string{"b", "c"} {
 			c.Synced(cluster.SyncReply{Slot: slot, Incarnation: "i", Revision: head.Revision, HeadVersion: 1}, time.Now())
 		}
 		for next := time.Now().Add(sync); time.Now().Before(next); time.Sleep(10 * time.Millisecond) {
-			must.True(t, c.Snapshot().MayAdmit(time.Now()), must.Sprint("refuses though its peers answer"))
+			must.True(t, c.Snapshot().MayAdmit(time.Now()), must.Sprint("admits no requests although its peers answer"))
 		}
 	}
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -12,18 +12,18 @@
 	"pearlanding/internal/router"
 )
 
-// Peer is what a snapshot says of one registered daemon.
+// Peer is the known state of one registered daemon.
 type Peer struct {
 	revision.Member
 	State    PeerState
-	Revision uint64 // applied, as last heard
-	HeardAt  time.Time
-	// Refused: its address refuses connections, so no process serves there.
+	Revision uint64    // applied revision as of the last contact
+	HeardAt  time.Time // last contact; zero: none
+	// Refused is set if its address refused a connection after the last contact: no
+	// process listens there.
 	Refused bool
 }
 
-// Snapshot is the control state at one moment. It is never changed after it was
-// published.
+// Snapshot is the control state at one time. It is immutable once published.
 type Snapshot struct {
 	Head        revision.Head
 	HeadVersion uint64
@@ -31,75 +31,79 @@
 	Incarnation string
 	Registered  bool
 	Stopping    bool
-	// AdmitUntil is when the admission lease ends.
+	// AdmitUntil is when the admission lease expires.
 	AdmitUntil time.Time
-	// PlatformAsOf is the moment of the freshest evidence from the platform.
+	// PlatformAsOf is the time of the freshest read of the head from the platform, by
+	// this daemon or a peer.
 	PlatformAsOf time.Time
 	// AcceptedUpTo is the highest revision known to be in force everywhere.
 	AcceptedUpTo uint64
-	// WaitingFor names the daemons that have not applied the head's revision.
+	// WaitingFor lists the slots that have not acknowledged the head's revision.
 	WaitingFor []string
-	Live       []string
-	duties     cluster.Duties
+	Live       []string // slots of the daemons that duties are assigned to
+	owners     cluster.RendezvousHash
 	Peers      map[string]Peer
 	Domains    map[string]group.Copy
 	Evidence   map[string]group.Evidence
 	Targets    map[string][]*router.Target // by pool
 	ByDigest   map[string]string           // token digest -> workspace
 	Pools      []catalog.Pool
-	// OthersInUse is the requests in progress at the other live daemons.
+	// OthersInUse is the number of in-flight requests at the other live daemons, by
+	// workspace.
 	OthersInUse map[string]int
 	// Changed is closed when a newer snapshot has been published.
 	Changed chan struct{}
 }
 
-// MayAdmit tells whether requests may be admitted at now.
+// MayAdmit reports whether requests may be admitted at now.
 func (s *Snapshot) MayAdmit(now time.Time) bool {
 	return s.Registered && !s.Stopping && now.Before(s.AdmitUntil)
 }
 
-// Owns tells whether this daemon is among the first n live ones for a duty.
-func (s *Snapshot) Owns(duty string, n int) bool { return s.duties.Owns(s.Slot, duty, n) }
+// Owns reports whether this daemon is among the n live daemons that a duty is assigned
+// to.
+func (s *Snapshot) Owns(duty string, n int) bool { return s.owners.Owns(s.Slot, duty, n) }
 
-// Owner returns the live daemon that a duty falls to first.
-func (s *Snapshot) Owner(duty string) string { return s.duties.Owner(duty) }
+// Owner returns the slot of the live daemon that a duty is assigned to first, "" if
+// there is none.
+func (s *Snapshot) Owner(duty string) string { return s.owners.Owner(duty) }
 
-// pollers is how many daemons read the head first; the others only when no fresh
-// evidence reaches them.
-const pollers = 2
+// headPollers is the number of daemons that poll the head. The others poll it only if
+// they receive no recent read from their peers.
+const headPollers = 2
 
-// PollDue tells whether this daemon should read the head from the platform at now.
+// PollDue reports whether this daemon should read the head from the platform at now.
 func (s *Snapshot) PollDue(now time.Time, lease time.Duration) bool {
 	age := now.Sub(s.PlatformAsOf)
-	return age >= lease/2 || age >= lease/4 && s.Owns("poll", pollers)
+	return age >= lease/2 || age >= lease/4 && s.Owns("poll", headPollers)
 }
 
-// snapshot builds the next snapshot; parts that can't have changed are taken
-// from the previous one.
+// snapshot builds the next snapshot. It reuses the parts of the previous one that can't
+// have changed.
 func (s *state) snapshot(now time.Time, previous *Snapshot) *Snapshot {
-	s.lease.Renew(now, s.cfg.AdmissionLease, s.head, s.cfg.Slot, s.heard)
-	verdict, waiting := s.acks.Decide(now, s.head, s.cfg.AdmissionLease, s.cfg.Slot, s.heard)
+	s.lease.Renew(now, s.cfg.AdmissionLease, s.head, s.cfg.Slot, s.contacts)
+	verdict, waiting := s.acks.Decide(now, s.head, s.cfg.AdmissionLease, s.cfg.Slot, s.contacts)
 	if verdict == revision.VerdictAccepted && s.headVersion > 0 {
-		s.decided = max(s.decided, s.head.Revision)
+		s.acceptedUpTo = max(s.acceptedUpTo, s.head.Revision)
 	}
 	out := &Snapshot{
 		Head: s.head, HeadVersion: s.headVersion, Slot: s.cfg.Slot, Incarnation: s.cfg.Incarnation,
 		Registered: s.registered(), Stopping: s.stopping, AdmitUntil: s.lease.ValidUntil(),
-		PlatformAsOf: s.lease.PlatformAsOf(), AcceptedUpTo: s.decided, WaitingFor: waiting,
-		Live: s.live(now), Peers: s.peers(now), Domains: maps.Clone(s.domains), Evidence: maps.Clone(s.evidence),
+		PlatformAsOf: s.lease.PlatformAsOf(), AcceptedUpTo: s.acceptedUpTo, WaitingFor: waiting,
+		Live: s.liveSlots(now), Peers: s.peers(now), Domains: maps.Clone(s.domains), Evidence: maps.Clone(s.evidence),
 		OthersInUse: s.othersInUse(now), Changed: make(chan struct{}),
 	}
 	if previous != nil && previous.HeadVersion == s.headVersion {
 		out.ByDigest, out.Pools = previous.ByDigest, previous.Pools
 	} else {
-		out.ByDigest, out.Pools = digests(s.head.Doc), s.head.Doc.Pools()
+		out.ByDigest, out.Pools = workspacesByDigest(s.head.Doc), s.head.Doc.Pools()
 	}
 	out.Targets = s.targets(previous)
-	out.duties = cluster.NewDuties(out.Live)
+	out.owners = cluster.NewRendezvousHash(out.Live)
 	return out
 }
 
-func digests(doc catalog.Doc) map[string]string {
+func workspacesByDigest(doc catalog.Doc) map[string]string {
 	out := make(map[string]string, len(doc.Workspaces))
 	for name, ws := range doc.Workspaces {
 		out[ws.TokenSHA256] = name
@@ -110,7 +114,7 @@
 func (s *state) peers(now time.Time) map[string]Peer {
 	out := make(map[string]Peer, len(s.head.Members))
 	for slot, m := range s.head.Members {
-		h := s.heard[slot]
+		h := s.contacts[slot]
 		if slot == s.cfg.Slot {
 			h.Revision, h.At = s.head.Revision, now
 		}
@@ -132,9 +136,9 @@
 	return out
 }
 
-// targets lists, by pool, the groups that may be routed to: serving at the
-// epoch of the newest domain object, no member on its way out, with evidence. A
-// target keeps its counter of dispatches until a newer report comes in.
+// targets returns, by pool, the groups that requests may be routed to: serving, without
+// departing members and with evidence for the current epoch. A target keeps its
+// dispatch counter until newer evidence arrives.
 func (s *state) targets(previous *Snapshot) map[string][]*router.Target {
 	old := map[string]*router.Target{}
 	if previous != nil {
@@ -162,7 +166,7 @@
 	t := &router.Target{
 		Group: g.ID, Pool: g.Pool, Epoch: g.Epoch, Place: d.Place, Domain: d.Name, Address: g.Members[0].Address,
 		Ready: e.Ready, Running: e.Running, Queued: e.Queued, Slots: e.Slots,
-		Since: s.servingAt[group.StateKey(g)], Sent: new(atomic.Int64),
+		Since: s.servingSince[group.StateKey(g)], Sent: new(atomic.Int64),
 	}
 	if old != nil && old.Epoch == t.Epoch && old.Ready.Equal(t.Ready) {
 		t.Sent = old.Sent
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -1,6 +1,6 @@
-// Package control owns a daemon's control state: the configuration head, the
-// admission lease, who was heard when, the domain objects and the evidence about
-// groups. One goroutine changes it; traffic reads immutable snapshots.
+// Package control maintains a daemon's control state: the configuration head, the
+// admission lease, the last contacts with peers, the domain objects and the evidence on
+// groups. One goroutine changes it; request handling reads immutable snapshots.
 package control
 
 import (
@@ -12,139 +12,142 @@
 	"pearlanding/internal/revision"
 )
 
-// Config says who this daemon is and the ages it works with.
+// Config holds the identity of this daemon and its time limits.
 type Config struct {
 	Slot           string
 	Incarnation    string
 	SyncInterval   time.Duration
 	AdmissionLease time.Duration
-	EvidenceAge    time.Duration
+	EvidenceAge    time.Duration // greatest age of evidence to act on
 }
 
-// state is all control state. Only the loop's goroutine touches it.
+// state is the whole control state. It belongs to the goroutine of Control.Run.
 type state struct {
-	cfg         Config
-	head        revision.Head
-	headVersion uint64
-	lease       revision.Lease
-	acks        revision.Acks
-	decided     uint64 // highest revision known to be accepted
-	heard       map[string]revision.Hearing
-	loads       map[string]cluster.DaemonLoad
-	domains     map[string]group.Copy
-	evidence    map[string]group.Evidence
-	servingAt   map[string]time.Time // by epoch: when it was first seen serving
-	stopping    bool
-	started     time.Time
+	cfg          Config
+	head         revision.Head
+	headVersion  uint64
+	lease        revision.Lease
+	acks         revision.Acks
+	acceptedUpTo uint64                        // highest revision known to be accepted
+	contacts     map[string]revision.Hearing   // last contact by slot
+	loads        map[string]cluster.DaemonLoad // by slot
+	domains      map[string]group.Copy
+	evidence     map[string]group.Evidence
+	servingSince map[string]time.Time // by group.StateKey: when the epoch was first seen serving
+	stopping     bool
+	started      time.Time
 }
 
 func newState(cfg Config, now time.Time) *state {
 	return &state{
-		cfg: cfg, head: revision.NewHead(), heard: map[string]revision.Hearing{}, loads: map[string]cluster.DaemonLoad{},
-		domains: map[string]group.Copy{}, evidence: map[string]group.Evidence{}, servingAt: map[string]time.Time{}, started: now,
+		cfg: cfg, head: revision.NewHead(), contacts: map[string]revision.Hearing{}, loads: map[string]cluster.DaemonLoad{},
+		domains: map[string]group.Copy{}, evidence: map[string]group.Evidence{}, servingSince: map[string]time.Time{}, started: now,
 	}
 }
 
-// observeHead adopts a head copy if it is newer. An older one never undoes
-// anything, whatever a lagging read returned.
+// observeHead applies a head if it is newer. An older one, as a stale read returns it,
+// is ignored.
 func (s *state) observeHead(head revision.Head, version uint64, now time.Time) {
 	if version <= s.headVersion || head.Revision < s.head.Revision {
 		return
 	}
 	s.head, s.headVersion = head, version
-	s.decided = max(s.decided, head.Accepted)
+	s.acceptedUpTo = max(s.acceptedUpTo, head.Accepted)
 	if s.registered() {
 		s.acks.Note(s.cfg.Slot, s.cfg.Incarnation, head.Revision, now)
 	}
-	for slot := range s.heard {
+	for slot := range s.contacts {
 		if _, member := head.Members[slot]; !member {
-			delete(s.heard, slot)
+			delete(s.contacts, slot)
 			delete(s.loads, slot)
 		}
 	}
 }
 
-// registered tells whether this very process holds its slot.
+// registered reports whether this process, not another incarnation, holds its slot.
 func (s *state) registered() bool {
 	return s.head.Members[s.cfg.Slot].Incarnation == s.cfg.Incarnation
 }
 
-// platformRead notes that the platform's head at asOf was no newer than ours.
+// platformRead records that the platform's head at asOf was no newer than the one
+// applied here.
 func (s *state) platformRead(asOf time.Time) { s.lease.PlatformRead(asOf) }
 
-// synced folds at now a peer's reply to a request sent at the given time.
-func (s *state) synced(r cluster.SyncReply, sent, now time.Time) {
+// observeSyncReply applies a peer's reply to a request that was sent at the given time.
+func (s *state) observeSyncReply(r cluster.SyncReply, sent, now time.Time) {
 	if r.Head != nil {
 		s.observeHead(r.Head.Head, r.Head.Version, now)
 	}
 	if s.head.Members[r.Slot].Incarnation != r.Incarnation {
-		return // a process that does not hold the slot counts for nothing
+		return // the process does not hold the slot
 	}
-	s.hear(r.Slot, revision.Hearing{Incarnation: r.Incarnation, Revision: r.Revision, At: sent})
+	s.recordContact(r.Slot, revision.Hearing{Incarnation: r.Incarnation, Revision: r.Revision, At: sent})
 	s.acks.Note(r.Slot, r.Incarnation, r.Revision, now)
 	s.loads[r.Slot] = r.Load
 	if r.PlatformAge >= 0 && r.HeadVersion <= s.headVersion {
 		s.platformRead(sent.Add(-time.Duration(r.PlatformAge) * time.Millisecond))
 	}
 	if r.HeadVersion == s.headVersion {
-		s.relayedHearings(r, sent)
+		s.mergeRelayedContacts(r, sent)
 	}
 	for _, d := range r.Domains {
-		s.domainReport(d, sent)
+		s.observeDomainReport(d, sent)
 	}
 }
 
-// hear keeps the freshest hearing of a slot.
-func (s *state) hear(slot string, h revision.Hearing) {
-	old := s.heard[slot]
+// recordContact records a contact with a slot unless a later one is known.
+func (s *state) recordContact(slot string, h revision.Hearing) {
+	old := s.contacts[slot]
 	h.Refused = old.Refused
 	if old.Incarnation == h.Incarnation && !h.At.After(old.At) {
 		return
 	}
-	s.heard[slot] = h
+	s.contacts[slot] = h
 }
 
-// relayedHearings counts whom the peer heard as heard, that much earlier.
-func (s *state) relayedHearings(r cluster.SyncReply, sent time.Time) {
+// mergeRelayedContacts records the peer's own contacts, at their age before sent.
+func (s *state) mergeRelayedContacts(r cluster.SyncReply, sent time.Time) {
 	slots := s.head.Slots()
-	if len(r.HeardAges) != len(slots) {
+	if len(r.ContactAges) != len(slots) {
 		return
 	}
-	unit := s.cfg.AdmissionLease / cluster.AgeUnits
-	for i, age := range r.HeardAges {
+	unit := s.cfg.AdmissionLease / cluster.ContactAgeUnits
+	for i, age := range r.ContactAges {
 		slot := slots[i]
-		if age == cluster.UnknownAge || slot == s.cfg.Slot {
+		if age == cluster.UnknownContactAge || slot == s.cfg.Slot {
 			continue
 		}
 		at := sent.Add(-time.Duration(age) * unit)
-		s.hear(slot, revision.Hearing{Incarnation: s.head.Members[slot].Incarnation, Revision: r.Revision, At: at})
+		s.recordContact(slot, revision.Hearing{Incarnation: s.head.Members[slot].Incarnation, Revision: r.Revision, At: at})
 	}
 }
 
-// refused notes that a peer's address refused a connection at that time.
-func (s *state) refused(slot string, at time.Time) {
+// observeRefusal records that a slot's address refused a connection at the given time.
+func (s *state) observeRefusal(slot string, at time.Time) {
 	if _, member := s.head.Members[slot]; !member {
 		return
 	}
-	h := s.heard[slot]
+	h := s.contacts[slot]
 	h.Refused = at
-	s.heard[slot] = h
+	s.contacts[slot] = h
 }
 
-// PeerState is how alive a registered daemon seems.
+// PeerState is the liveness of a registered daemon as seen by this one.
 type PeerState string
 
-// Peer states. Duties are given to alive peers only.
+// Peer states. Duties are assigned to alive peers only.
 const (
 	PeerAlive   PeerState = "alive"
 	PeerSuspect PeerState = "suspect"
 	PeerDead    PeerState = "dead"
 )
 
-// suspectAfter is how many sync intervals of silence make a peer suspect.
-const suspectAfter = 5
+// suspectAfterIntervals is the number of sync intervals without contact after which a
+// peer is suspect.
+const suspectAfterIntervals = 5
 
-// peerState judges a slot at now.
+// peerState returns the state of a slot's daemon at now. A peer is dead if its address
+// refuses connections or there was no contact for two admission leases.
 func (s *state) peerState(slot string, now time.Time) PeerState {
 	if slot == s.cfg.Slot {
 		if s.registered() && !s.stopping {
@@ -152,7 +155,7 @@
 		}
 		return PeerDead
 	}
-	h := s.heard[slot]
+	h := s.contacts[slot]
 	last := h.At
 	if last.IsZero() {
 		last = s.started
@@ -160,7 +163,7 @@
 	switch {
 	case h.Refused.After(h.At):
 		return PeerDead
-	case now.Sub(last) <= suspectAfter*s.cfg.SyncInterval && !h.At.IsZero():
+	case now.Sub(last) <= suspectAfterIntervals*s.cfg.SyncInterval && !h.At.IsZero():
 		return PeerAlive
 	case now.Sub(last) <= 2*s.cfg.AdmissionLease:
 		return PeerSuspect
@@ -168,8 +171,8 @@
 	return PeerDead
 }
 
-// live lists the slots that duties may be given to.
-func (s *state) live(now time.Time) []string {
+// liveSlots lists the slots that duties may be assigned to.
+func (s *state) liveSlots(now time.Time) []string {
 	var out []string
 	for _, slot := range s.head.Slots() {
 		if s.peerState(slot, now) == PeerAlive {
@@ -179,7 +182,7 @@
 	return out
 }
 
-// observeDomain adopts a domain object if it is newer.
+// observeDomain applies a domain object if it is newer.
 func (s *state) observeDomain(name string, c group.Copy, now time.Time) {
 	if old, known := s.domains[name]; known && c.Version <= old.Version {
 		return
@@ -187,8 +190,8 @@
 	s.domains[name] = c
 	for id, g := range c.Domain.Groups {
 		key := group.StateKey(g)
-		if _, seen := s.servingAt[key]; !seen && g.State == group.StateServing {
-			s.servingAt[key] = now
+		if _, seen := s.servingSince[key]; !seen && g.State == group.StateServing {
+			s.servingSince[key] = now
 		}
 		if e, ok := s.evidence[id]; ok && e.Epoch != g.Epoch {
 			delete(s.evidence, id)
@@ -196,19 +199,19 @@
 	}
 }
 
-// domainReport folds what a peer said of a domain.
-func (s *state) domainReport(r cluster.DomainReport, sent time.Time) {
+// observeDomainReport applies a peer's report on a domain.
+func (s *state) observeDomainReport(r cluster.DomainReport, sent time.Time) {
 	if len(r.Domain) > 0 {
 		if d, err := group.DecodeDomain(r.Domain); err == nil {
 			s.observeDomain(r.Name, group.Copy{Version: r.Version, Domain: d}, sent)
 		}
 	}
 	if c := s.domains[r.Name]; c.Version == r.Version {
-		for _, e := range unpack(c.Domain, r.Packed, sent, s.cfg.EvidenceAge) {
+		for _, e := range unpackEvidence(c.Domain, r.Packed, sent, s.cfg.EvidenceAge) {
 			s.observeEvidence(e, sent)
 		}
 	}
-	for _, e := range r.Wrong {
+	for _, e := range r.Abnormal {
 		ev := e.Evidence
 		if e.AgeMS >= 0 {
 			ev.Ready = sent.Add(-time.Duration(e.AgeMS) * time.Millisecond)
@@ -217,11 +220,10 @@
 	}
 }
 
-// observeEvidence keeps the evidence of the current epoch that is ready latest. A
-// prober that misses a member counts for nothing while another still sees the
-// whole group ready; that a member is leaving, or that the epoch is surely over,
-// counts whoever saw it.
-func (s *state) observeEvidence(e group.Evidence, learned time.Time) {
+// observeEvidence keeps the evidence of the latest epoch with the latest Ready time. A
+// prober that can't reach a member is ignored while another still sees the whole group
+// ready. Leaving members and ended epochs are taken from any prober.
+func (s *state) observeEvidence(e group.Evidence, received time.Time) {
 	old, known := s.evidence[e.Group]
 	if known && old.Epoch > e.Epoch {
 		return
@@ -229,7 +231,7 @@
 	if known && old.Epoch == e.Epoch && old.Ended {
 		return
 	}
-	if known && old.Epoch == e.Epoch && !e.Ended && e.Ready.Before(old.Ready) && learned.Sub(old.Ready) < s.cfg.EvidenceAge {
+	if known && old.Epoch == e.Epoch && !e.Ended && e.Ready.Before(old.Ready) && received.Sub(old.Ready) < s.cfg.EvidenceAge {
 		old.Leaving = unionStrings(old.Leaving, e.Leaving)
 		s.evidence[e.Group] = old
 		return
@@ -243,7 +245,7 @@
 	return slices.Compact(out)
 }
 
-// prune drops what belongs to groups that are no more.
+// prune removes the evidence on and serving times of groups that no longer exist.
 func (s *state) prune() {
 	serving, groups := map[string]bool{}, map[string]bool{}
 	for _, c := range s.domains {
@@ -257,9 +259,9 @@
 			delete(s.evidence, id)
 		}
 	}
-	for key := range s.servingAt {
+	for key := range s.servingSince {
 		if !serving[key] {
-			delete(s.servingAt, key)
+			delete(s.servingSince, key)
 		}
 	}
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -22,46 +22,46 @@
 	return s
 }
 
-// TestRelayedHearingKeepsItsAge: a relayed hearing is as old as the peer said,
-// counted from when it was asked, else a dead peer would echo for ever.
-func TestRelayedHearingKeepsItsAge(t *testing.T) {
+// A relayed contact is recorded at the age that the peer reported, counted from when the
+// request was sent. Otherwise daemons could keep a dead peer alive by relaying it.
+func TestRelayedContactKeepsItsAge(t *testing.T) {
 	now := time.Unix(8000, 0)
 	s := testState(now)
 	sent := now.Add(time.Second)
 	reply := cluster.SyncReply{Slot: "b", Incarnation: "1", Revision: s.head.Revision, HeadVersion: 5, PlatformAge: -1,
-		HeardAges: []byte{10, 0, 50}}
-	s.synced(reply, sent, sent.Add(100*time.Millisecond))
-	must.Eq(t, sent, s.heard["b"].At)
-	must.Eq(t, sent.Add(-time.Second), s.heard["c"].At) // 50 hundredths of two seconds
+		ContactAges: []byte{10, 0, 50}}
+	s.observeSyncReply(reply, sent, sent.Add(100*time.Millisecond))
+	must.Eq(t, sent, s.contacts["b"].At)
+	must.Eq(t, sent.Add(-time.Second), s.contacts["c"].At) // 50 hundredths of two seconds
 
-	reply.HeardAges, reply.HeadVersion = []byte{0, 0, 0}, 4
-	s.synced(reply, sent, sent)
-	must.Eq(t, sent.Add(-time.Second), s.heard["c"].At, must.Sprint("ages for another head count for nothing"))
+	reply.ContactAges, reply.HeadVersion = []byte{0, 0, 0}, 4
+	s.observeSyncReply(reply, sent, sent)
+	must.Eq(t, sent.Add(-time.Second), s.contacts["c"].At, must.Sprint("ages for another head version are ignored"))
 }
 
-func TestPeerGoesSilentBeforeItIsDead(t *testing.T) {
+func TestSilentPeerIsSuspectBeforeDead(t *testing.T) {
 	now := time.Unix(8000, 0)
 	s := testState(now)
-	s.hear("b", revision.Hearing{Incarnation: "1", At: now})
+	s.recordContact("b", revision.Hearing{Incarnation: "1", At: now})
 	must.Eq(t, PeerAlive, s.peerState("b", now.Add(time.Second)))
 	must.Eq(t, PeerSuspect, s.peerState("b", now.Add(2*time.Second)))
 	must.Eq(t, PeerDead, s.peerState("b", now.Add(5*time.Second)))
-	s.refused("b", now.Add(time.Millisecond))
+	s.observeRefusal("b", now.Add(time.Millisecond))
 	must.Eq(t, PeerDead, s.peerState("b", now.Add(2*time.Millisecond)))
-	must.Eq(t, []string{"a"}, s.live(now.Add(2*time.Millisecond)))
+	must.Eq(t, []string{"a"}, s.liveSlots(now.Add(2*time.Millisecond)))
 }
 
-func TestEvidenceOfAnyProberCounts(t *testing.T) {
+func TestFreshestEvidenceOfAnyProberIsKept(t *testing.T) {
 	now := time.Unix(8000, 0)
 	s := testState(now)
 	ready := group.Evidence{Group: "g", Epoch: 3, Ready: now}
 	s.observeEvidence(ready, now)
-	// Another prober misses a member: that counts for nothing while this is fresh.
+	// Another prober can't reach a member: ignored while the first report is fresh.
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Lost: []string{"vm"}}, now.Add(time.Second))
 	must.SliceEmpty(t, s.evidence["g"].Lost)
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Lost: []string{"vm"}}, now.Add(2*time.Second))
 	must.Eq(t, []string{"vm"}, s.evidence["g"].Lost)
-	// The end of an epoch is final, and an older epoch says nothing.
+	// The end of an epoch is final, and evidence of an older epoch is ignored.
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Ended: true, Lost: []string{"vm"}}, now)
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Ready: now.Add(time.Hour)}, now)
 	must.True(t, s.evidence["g"].Ended)
@@ -69,17 +69,17 @@
 	must.Eq(t, uint64(3), s.evidence["g"].Epoch)
 }
 
-// TestPollersDoNotGrowWithTheFleet: with evidence that peers relay, two daemons
-// read the head, however many there are; without it, every daemon does.
-func TestPollersDoNotGrowWithTheFleet(t *testing.T) {
+// While peers relay recent reads of the head, two daemons poll it, whatever the size of
+// the fleet; otherwise every daemon does.
+func TestHeadPollersDoNotGrowWithFleet(t *testing.T) {
 	const lease = 2 * time.Second
 	for _, n := range []int{3, 9, 30, 390} {
 		due := map[time.Duration]int{}
 		for i := range n {
-			s, now := fleet(n, 1, 1)
+			s, now := newFleetState(n, 1, 1)
 			s.cfg.Slot = fmt.Sprintf("d%03d", i)
 			for j := range n {
-				s.hear(fmt.Sprintf("d%03d", j), revision.Hearing{Incarnation: "i", Revision: s.head.Revision, At: now})
+				s.recordContact(fmt.Sprintf("d%03d", j), revision.Hearing{Incarnation: "i", Revision: s.head.Revision, At: now})
 			}
 			snap := s.snapshot(now, nil)
 			must.SliceLen(t, n, snap.Live)
@@ -90,8 +90,8 @@
 			}
 		}
 		must.Eq(t, 0, due[lease/4-1])
-		must.Eq(t, pollers, due[lease/4])
-		must.Eq(t, pollers, due[lease/2-1])
+		must.Eq(t, headPollers, due[lease/4])
+		must.Eq(t, headPollers, due[lease/2-1])
 		must.Eq(t, n, due[lease/2])
 	}
 }
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -7,7 +7,7 @@
 	"pearlanding/internal/cluster"
 )
 
-// request is what a daemon with this snapshot asks a peer.
+// request returns the sync request of a daemon with this snapshot.
 func (s *Snapshot) request() cluster.SyncRequest {
 	versions := make(map[string]uint64, len(s.Domains))
 	for name, copied := range s.Domains {
@@ -16,7 +16,8 @@
 	return cluster.SyncRequest{Slot: s.Slot, HeadVersion: s.HeadVersion, Domains: versions}
 }
 
-// reply is what a daemon with this snapshot answers a peer at now.
+// reply returns the answer of a daemon with this snapshot to a peer's request at now.
+// It holds only objects that are newer than the peer's.
 func (s *Snapshot) reply(req cluster.SyncRequest, now time.Time, cfg Config) cluster.SyncReply {
 	out := cluster.SyncReply{
 		Slot: s.Slot, Incarnation: s.Incarnation, Revision: s.Head.Revision, HeadVersion: s.HeadVersion, PlatformAge: -1,
@@ -27,11 +28,11 @@
 	if !s.PlatformAsOf.IsZero() {
 		out.PlatformAge = ageMS(now, s.PlatformAsOf)
 	}
-	out.HeardAges = s.heardAges(now, cfg.AdmissionLease)
+	out.ContactAges = s.contactAges(now, cfg.AdmissionLease)
 	for name, copied := range s.Domains {
-		report := cluster.DomainReport{Name: name, Version: copied.Version, Wrong: wrong(copied.Domain, s.Evidence, now)}
+		report := cluster.DomainReport{Name: name, Version: copied.Version, Abnormal: abnormalEvidence(copied.Domain, s.Evidence, now)}
 		if len(copied.Domain.Groups) > 0 {
-			report.Packed = pack(copied.Domain, s.Evidence, now, cfg.EvidenceAge)
+			report.Packed = packEvidence(copied.Domain, s.Evidence, now, cfg.EvidenceAge)
 		}
 		if req.Domains[name] < copied.Version {
 			if data, err := json.Marshal(copied.Domain); err == nil {
@@ -45,24 +46,26 @@
 	return out
 }
 
-// ageMS rounds an age up to whole milliseconds: a relayed fact never gets younger.
+// ageMS returns an age in milliseconds, rounded up so that a relayed fact never appears
+// younger than it is.
 func ageMS(now, at time.Time) int64 {
 	return int64((now.Sub(at) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// heardAges is the relayed form of whom this daemon heard at the head's slots.
-func (s *Snapshot) heardAges(now time.Time, term time.Duration) []byte {
-	unit := term / cluster.AgeUnits
+// contactAges returns this daemon's contacts with the slots of the head in the form of
+// SyncReply.ContactAges.
+func (s *Snapshot) contactAges(now time.Time, term time.Duration) []byte {
+	unit := term / cluster.ContactAgeUnits
 	slots := s.Head.Slots()
 	out := make([]byte, len(slots))
 	for i, slot := range slots {
-		out[i] = cluster.UnknownAge
+		out[i] = cluster.UnknownContactAge
 		p := s.Peers[slot]
 		if p.HeardAt.IsZero() || p.Revision > s.Head.Revision {
 			continue
 		}
-		// Rounded up: a relayed hearing never gets younger.
-		if age := (max(now.Sub(p.HeardAt), 0) + unit - 1) / unit; age < cluster.UnknownAge {
+		// Rounded up so that a relayed contact never appears younger than it is.
+		if age := (max(now.Sub(p.HeardAt), 0) + unit - 1) / unit; age < cluster.UnknownContactAge {
 			out[i] = byte(age)
 		}
 	}
