--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds what operators configure: templates, workspaces made
-// from them, and plain services. It parses their INI form, checks it with all
-// findings at once, and derives the pools of replicas to run.
+// Package catalog defines the configuration that operators edit: model templates,
+// workspaces that use them, and plain services. It parses and renders the INI form,
+// reports all findings at once, and derives the pools of replicas to run.
 package catalog
 
 import (
@@ -9,23 +9,23 @@
 	"slices"
 )
 
-// Template is a shared description of a model deployment.
+// Template describes a model deployment that workspaces can share.
 type Template struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	VMs      int      `json:"vms"`      // VMs that together run one replica
-	Replicas int      `json:"replicas"` // replicas wanted
-	Places   []string `json:"places"`   // where replicas may stand
+	Replicas int      `json:"replicas"` // number of replicas to run
+	Places   []string `json:"places"`   // where replicas may run
 	WeightMB int      `json:"weight_mb"`
 	Priority int      `json:"priority"` // 0..9, higher is repaired first
-	// Changed is the revision that last changed this entry.
+	// Changed is the revision that last modified this entry.
 	Changed uint64 `json:"changed"`
 }
 
-// Class orders requests under load.
+// Class is the priority class of a workspace's requests under load.
 type Class string
 
-// Priority classes of workspaces, most urgent first.
+// Values of Class, most urgent first.
 const (
 	ClassUrgent  Class = "urgent"
 	ClassNormal  Class = "normal"
@@ -35,21 +35,22 @@
 // Classes lists the classes, most urgent first.
 var Classes = []Class{ClassUrgent, ClassNormal, ClassPatient}
 
-// ModelUse is one model as a workspace sees it.
+// ModelUse configures one model of a workspace.
 type ModelUse struct {
 	Template string `json:"template"`
 	Adapter  string `json:"adapter,omitempty"`
-	// Version overrides the template's; the workspace then has its own pool.
+	// Version overrides the template's version. The model then uses the pool of that
+	// version, which workspaces with the same override share.
 	Version  string `json:"version,omitempty"`
-	Replicas int    `json:"replicas,omitempty"` // of the own pool
+	Replicas int    `json:"replicas,omitempty"` // least size of that pool
 }
 
-// Workspace is one tenant.
+// Workspace is the configuration of one customer.
 type Workspace struct {
 	TokenSHA256   string              `json:"token_sha256"` // hex digest of the bearer token
-	Places        []string            `json:"places"`       // where its data may go
+	Places        []string            `json:"places"`       // where its data may be processed
 	Class         Class               `json:"class"`
-	MaxConcurrent int                 `json:"max_concurrent"` // over all daemons
+	MaxConcurrent int                 `json:"max_concurrent"` // in-flight requests over all daemons
 	RatePerSecond float64             `json:"rate_per_second"`
 	Services      []string            `json:"services,omitempty"`
 	Models        map[string]ModelUse `json:"models"`
@@ -62,15 +63,15 @@
 	Address string `json:"address"`
 }
 
-// Service is a plain service that is routed to as well.
+// Service is a service without a model that requests are also routed to.
 type Service struct {
 	Instances []Instance `json:"instances"`
-	// OnceMethods are the HTTP methods whose calls may not be repeated.
+	// OnceMethods lists the HTTP methods whose calls must not be retried.
 	OnceMethods []string `json:"once_methods,omitempty"`
 	Changed     uint64   `json:"changed"`
 }
 
-// Doc is the whole configuration under one revision.
+// Doc is the whole configuration at one revision, each map keyed by name.
 type Doc struct {
 	Templates  map[string]Template  `json:"templates"`
 	Workspaces map[string]Workspace `json:"workspaces"`
@@ -82,8 +83,8 @@
 	return Doc{Templates: map[string]Template{}, Workspaces: map[string]Workspace{}, Services: map[string]Service{}}
 }
 
-// Clone copies the maps so that entries can be replaced; entries are values
-// that are never changed in place.
+// Clone returns a copy in which entries can be replaced. The entries themselves are
+// shared and must not be modified in place.
 func (d Doc) Clone() Doc {
 	out := NewDoc()
 	maps.Copy(out.Templates, d.Templates)
@@ -92,7 +93,7 @@
 	return out
 }
 
-// Pool is a set of equal replicas: one template at one version.
+// Pool is a set of identical replicas: one template at one version.
 type Pool struct {
 	Name     string
 	Model    string
@@ -104,10 +105,10 @@
 	Priority int
 }
 
-// PoolName is the pool that serves a workspace's use of a template.
+// PoolName returns the name of the pool of a template at a version.
 func PoolName(template, version string) string { return fmt.Sprintf("%s@%s", template, version) }
 
-// Pools derives the pools to run, most important first, then by name.
+// Pools returns the pools to run, by descending priority and then by name.
 func (d Doc) Pools() []Pool {
 	pools := map[string]Pool{}
 	for name, t := range d.Templates {
@@ -141,7 +142,7 @@
 	return out
 }
 
-// PoolFor resolves a workspace's model name to its pool; false when the
+// PoolFor returns the name of the pool that serves a workspace's model; false if the
 // workspace has no such model.
 func (d Doc) PoolFor(ws Workspace, model string) (pool string, use ModelUse, ok bool) {
 	use, ok = ws.Models[model]
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -11,7 +11,7 @@
 
 const digest = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
-const good = `[template t]
+const validConfig = `[template t]
 model = m
 version = 1
 vms = 4
@@ -42,7 +42,7 @@
 	return e, list.Items()
 }
 
-func TestFindingsAreReportedTogetherWithTheirPlace(t *testing.T) {
+func TestAllFindingsAreReportedWithTheirLine(t *testing.T) {
 	for _, tc := range []struct {
 		name, from, to string
 		line           int
@@ -59,21 +59,21 @@
 		{"method", "POST", "SEND", 10, "not an HTTP method"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, found := parse(t, strings.Replace(good, tc.from, tc.to, 1))
+			_, found := parse(t, strings.Replace(validConfig, tc.from, tc.to, 1))
 			must.SliceNotEmpty(t, found)
-			hit := false
+			reported := false
 			for _, f := range found {
-				hit = hit || (f.Line == tc.line && strings.Contains(f.Message, tc.message))
+				reported = reported || (f.Line == tc.line && strings.Contains(f.Message, tc.message))
 			}
-			must.True(t, hit, must.Sprint(found))
+			must.True(t, reported, must.Sprint(found))
 		})
 	}
-	_, found := parse(t, good)
+	_, found := parse(t, validConfig)
 	must.SliceEmpty(t, found)
 }
 
-func TestPoolsFollowVersions(t *testing.T) {
-	e, _ := parse(t, good)
+func TestEachTemplateVersionHasAPool(t *testing.T) {
+	e, _ := parse(t, validConfig)
 	pools := e.Doc.Pools()
 	must.SliceLen(t, 2, pools)
 	must.Eq(t, "t@1", pools[0].Name)
@@ -86,10 +86,10 @@
 	must.False(t, ok)
 }
 
-// TestRenderedEntryCanBeAppliedAgain: what get prints is what apply reads, with
-// the revision that detects a lost race.
+// The command "get" prints an entry in the form that "apply" reads, with the revision
+// that detects concurrent edits.
 func TestRenderedEntryCanBeAppliedAgain(t *testing.T) {
-	e, _ := parse(t, good)
+	e, _ := parse(t, validConfig)
 	doc, conflicts, changed := e.Merge(NewDoc(), 7)
 	must.True(t, changed)
 	must.SliceEmpty(t, conflicts)
@@ -107,8 +107,8 @@
 	}
 }
 
-func TestLoserOfARaceIsTold(t *testing.T) {
-	e, _ := parse(t, good)
+func TestConflictingEditIsReported(t *testing.T) {
+	e, _ := parse(t, validConfig)
 	doc, _, _ := e.Merge(NewDoc(), 7)
 	text, _ := doc.Render(Ref{KindTemplate, "t"})
 	edit := func(to string) *Edit {
@@ -124,9 +124,9 @@
 	must.NotNil(t, conflict)
 }
 
-// FuzzParse: any bytes give findings or a configuration, never a panic.
+// FuzzParse checks that Parse, Check and Merge don't panic on any input.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfig))
 	f.Add([]byte("[template \x00]\nvms=\n=\n[["))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var list findings.List
--- a/internal/catalog/merge.go
+++ b/internal/catalog/merge.go
@@ -2,23 +2,23 @@
 
 import "reflect"
 
-// Conflict tells that an entry was changed by somebody else first.
+// Conflict reports that an entry is not at the revision that an edit was based on.
 type Conflict struct {
 	Ref     Ref    `json:"ref"`
-	Expect  uint64 `json:"expect"`  // the revision the editor had seen, 0: none
-	Current uint64 `json:"current"` // the entry's revision now
-	By      string `json:"by"`      // who made that revision, if still known
+	Expect  uint64 `json:"expect"`  // revision that the edit was based on; 0: none
+	Current uint64 `json:"current"` // current revision of the entry; 0: no entry
+	By      string `json:"by"`      // author of the current revision, if still recorded
 }
 
-// Merge puts the edit's entries into doc under the new revision. It returns the
-// new configuration, the conflicts (then nothing is to be written), and whether
-// anything differs. An entry that exists needs its current revision in the
-// edit, unless the edit would not change it.
+// Merge applies the edit's entries to doc at the new revision. It returns the new
+// configuration, the conflicts, and whether anything changed. If there are conflicts,
+// nothing must be written. An edit of an existing entry must name the entry's current
+// revision unless it leaves the entry unchanged.
 func (e *Edit) Merge(doc Doc, revision uint64) (next Doc, conflicts []Conflict, changed bool) {
 	next = doc.Clone()
 	for _, ref := range e.Refs() {
-		current, exists := doc.changedAt(ref)
-		if exists && e.sameAs(doc, ref) {
+		current, exists := doc.modRevision(ref)
+		if exists && e.matches(doc, ref) {
 			continue
 		}
 		if e.Expect[ref] != current {
@@ -31,8 +31,9 @@
 	return next, conflicts, changed
 }
 
-// changedAt returns the revision that last changed an entry, 0 if there is none.
-func (d Doc) changedAt(ref Ref) (uint64, bool) {
+// modRevision returns the revision that last modified an entry and whether the entry
+// exists; the revision is 0 if it does not.
+func (d Doc) modRevision(ref Ref) (uint64, bool) {
 	switch ref.Kind {
 	case KindTemplate:
 		t, ok := d.Templates[ref.Name]
@@ -46,20 +47,22 @@
 	}
 }
 
-func (e *Edit) sameAs(doc Doc, ref Ref) bool {
-	probe := doc.Clone()
-	current, _ := doc.changedAt(ref)
-	e.put(probe, ref, current)
+// matches reports whether the edit leaves an entry of doc unchanged.
+func (e *Edit) matches(doc Doc, ref Ref) bool {
+	merged := doc.Clone()
+	current, _ := doc.modRevision(ref)
+	e.put(merged, ref, current)
 	switch ref.Kind {
 	case KindTemplate:
-		return reflect.DeepEqual(probe.Templates[ref.Name], doc.Templates[ref.Name])
+		return reflect.DeepEqual(merged.Templates[ref.Name], doc.Templates[ref.Name])
 	case KindWorkspace:
-		return reflect.DeepEqual(probe.Workspaces[ref.Name], doc.Workspaces[ref.Name])
+		return reflect.DeepEqual(merged.Workspaces[ref.Name], doc.Workspaces[ref.Name])
 	default:
-		return reflect.DeepEqual(probe.Services[ref.Name], doc.Services[ref.Name])
+		return reflect.DeepEqual(merged.Services[ref.Name], doc.Services[ref.Name])
 	}
 }
 
+// put stores an entry of the edit in doc, modified at revision.
 func (e *Edit) put(doc Doc, ref Ref, revision uint64) {
 	switch ref.Kind {
 	case KindTemplate:
@@ -77,9 +80,10 @@
 	}
 }
 
-// Remove takes one entry out if expect is its current revision.
+// Remove returns the configuration without one entry, or a conflict if the entry does
+// not exist or expect is not its current revision.
 func (d Doc) Remove(ref Ref, expect uint64) (Doc, *Conflict) {
-	current, exists := d.changedAt(ref)
+	current, exists := d.modRevision(ref)
 	if !exists || current != expect {
 		return d, &Conflict{Ref: ref, Expect: expect, Current: current}
 	}
--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -10,20 +10,20 @@
 	"pearlanding/internal/findings"
 )
 
-// Limits of the configuration.
+// Upper limits of configured values.
 const (
 	MaxVMsPerReplica = 64
-	MaxReplicas      = 4096
+	MaxReplicas      = 4096 // of one pool
 	MaxPriority      = 9
 	maxWeightGB      = 10000
-	maxConcurrent    = 1_000_000
-	maxRate          = 1e6
+	maxConcurrent    = 1_000_000 // requests
+	maxRate          = 1e6       // requests per second
 )
 
-// nameRule is what names of templates, workspaces, services and models look like.
-var nameRule = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+// namePattern matches valid names of templates, workspaces, services and models.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Kind is a kind of configuration entry.
+// Kind is the kind of a configuration entry.
 type Kind string
 
 // Kinds of entries.
@@ -33,26 +33,27 @@
 	KindService   Kind = "service"
 )
 
-// Ref names one entry.
+// Ref identifies a configuration entry.
 type Ref struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// Edit is the parsed content of one or more INI files: entries to put in place.
+// Edit is the parsed content of one or more INI files: entries to add or replace.
 type Edit struct {
 	Doc Doc
-	// Expect holds, for entries with a revision key, the revision edited.
+	// Expect holds the revisions that the edit was based on, for the entries with a
+	// revision key.
 	Expect map[Ref]uint64
-	places map[Ref]*findings.File
+	files  map[Ref]*findings.File
 }
 
 // NewEdit returns an empty edit.
 func NewEdit() *Edit {
-	return &Edit{Doc: NewDoc(), Expect: map[Ref]uint64{}, places: map[Ref]*findings.File{}}
+	return &Edit{Doc: NewDoc(), Expect: map[Ref]uint64{}, files: map[Ref]*findings.File{}}
 }
 
-// Refs lists the entries of the edit.
+// Refs lists the entries of the edit in a fixed order.
 func (e *Edit) Refs() []Ref {
 	var out []Ref
 	for name := range e.Doc.Templates {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// Parse reads one INI file into the edit and reports findings in list.
+// Parse adds the entries of one INI file to the edit and its findings to list.
 func (e *Edit) Parse(name string, data []byte, list *findings.List) {
 	file := findings.Parse(name, data, list)
 	if file == nil {
@@ -83,11 +84,11 @@
 				file.Add("", keys[0], "stands before any section")
 			}
 		case len(words) == 2 && words[0] == string(KindTemplate):
-			e.template(file, section, words[1])
+			e.parseTemplate(file, section, words[1])
 		case len(words) == 2 && words[0] == string(KindWorkspace):
-			e.workspace(file, section, words[1])
+			e.parseWorkspace(file, section, words[1])
 		case len(words) == 2 && words[0] == string(KindService):
-			e.service(file, section, words[1])
+			e.parseService(file, section, words[1])
 		case len(words) == 4 && words[0] == string(KindWorkspace) && words[2] == "model":
 			models = append(models, section)
 		default:
@@ -96,24 +97,24 @@
 	}
 	for _, section := range models {
 		words := strings.Fields(section)
-		e.model(file, section, words[1], words[3])
+		e.parseModel(file, section, words[1], words[3])
 	}
 }
 
-// begin notes where an entry stands and reads its optional revision.
-func (e *Edit) begin(file *findings.File, sec *findings.Section, ref Ref) {
-	if !nameRule.MatchString(ref.Name) {
+// startEntry checks an entry's name, records its file and reads its optional revision.
+func (e *Edit) startEntry(file *findings.File, sec *findings.Section, ref Ref) {
+	if !namePattern.MatchString(ref.Name) {
 		sec.Fault("", "%q is not a name: lower-case letters, digits, dots, dashes, at most 63", ref.Name)
 	}
-	e.places[ref] = file
+	e.files[ref] = file
 	if n := sec.Int("revision", 0, 0, 1<<53); n > 0 {
 		e.Expect[ref] = uint64(n)
 	}
 }
 
-func (e *Edit) template(file *findings.File, section, name string) {
+func (e *Edit) parseTemplate(file *findings.File, section, name string) {
 	s := file.Section(section)
-	e.begin(file, s, Ref{KindTemplate, name})
+	e.startEntry(file, s, Ref{KindTemplate, name})
 	t := Template{
 		Model: s.Required("model"), Version: s.Required("version"),
 		VMs: s.Int("vms", 1, 1, MaxVMsPerReplica), Replicas: s.Int("replicas", 1, 0, MaxReplicas),
@@ -128,9 +129,9 @@
 	e.Doc.Templates[name] = t
 }
 
-func (e *Edit) workspace(file *findings.File, section, name string) {
+func (e *Edit) parseWorkspace(file *findings.File, section, name string) {
 	s := file.Section(section)
-	e.begin(file, s, Ref{KindWorkspace, name})
+	e.startEntry(file, s, Ref{KindWorkspace, name})
 	w := Workspace{
 		TokenSHA256: s.Required("token_sha256"), Places: s.Strings("places"),
 		Class:         Class(s.OneOf("class", string(ClassNormal), string(ClassUrgent), string(ClassNormal), string(ClassPatient))),
@@ -148,14 +149,14 @@
 	e.Doc.Workspaces[name] = w
 }
 
-func (e *Edit) model(file *findings.File, section, workspace, alias string) {
+func (e *Edit) parseModel(file *findings.File, section, workspace, alias string) {
 	s := file.Section(section)
 	w, ok := e.Doc.Workspaces[workspace]
 	if !ok {
 		s.Fault("", "workspace %q is not in this file", workspace)
 		return
 	}
-	if !nameRule.MatchString(alias) {
+	if !namePattern.MatchString(alias) {
 		s.Fault("", "%q is not a model name", alias)
 	}
 	w.Models[alias] = ModelUse{
@@ -165,9 +166,9 @@
 	s.Done()
 }
 
-func (e *Edit) service(file *findings.File, section, name string) {
+func (e *Edit) parseService(file *findings.File, section, name string) {
 	s := file.Section(section)
-	e.begin(file, s, Ref{KindService, name})
+	e.startEntry(file, s, Ref{KindService, name})
 	var svc Service
 	for _, item := range s.Strings("instances") {
 		place, address, ok := strings.Cut(item, "@")
@@ -190,8 +191,8 @@
 	e.Doc.Services[name] = svc
 }
 
-// Check reports what is wrong between the entries of doc; places come from the
-// edit where the entry stands in it.
+// Check adds findings on references between the entries of doc and on tokens used by
+// two workspaces. A finding names the file and line if the entry is part of the edit.
 func (e *Edit) Check(doc Doc, list *findings.List) {
 	digests := map[string]string{}
 	for _, name := range sortedKeys(doc.Workspaces) {
@@ -224,8 +225,9 @@
 	}
 }
 
+// report adds a finding on an entry, with its file and line if the edit contains it.
 func (e *Edit) report(list *findings.List, ref Ref, section, key, message string) {
-	if file := e.places[ref]; file != nil {
+	if file := e.files[ref]; file != nil {
 		file.Add(section, key, "%s", message)
 		return
 	}
--- a/internal/catalog/render.go
+++ b/internal/catalog/render.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Render writes one entry as INI with its revision, ready to be edited and
-// applied again; false when there is no such entry.
+// Render returns one entry with its revision in the INI form that Parse reads; false if
+// there is no such entry.
 func (d Doc) Render(ref Ref) (string, bool) {
 	var b strings.Builder
 	key := func(name string, value any) { fmt.Fprintf(&b, "%s = %v\n", name, value) }
