--- a/internal/group/domain.go
+++ b/internal/group/domain.go
@@ -1,7 +1,9 @@
 // Package group forms, repairs and retires groups of VMs that together run one
 // model replica. All groups of a fabric domain are stored in one platform object,
 // so each change is one conditional update and "no VM in two groups" is validated
-// within that object. Plan is a pure function; the reconcilers do the I/O.
+// within that object. One daemon at a time holds a domain: its reconciler reads the
+// object and probes the VMs, Plan (a pure function) computes the next state, and the
+// reconciler writes it and sends the resulting orders to the engines.
 package group
 
 import (
@@ -52,13 +54,13 @@
 	BootID  string `json:"boot_id,omitempty"`
 }
 
-// Group is one epoch of one model replica.
+// Group is one model replica at its current epoch.
 type Group struct {
 	ID       string         `json:"id"`
 	Pool     string         `json:"pool"`
 	Weights  engine.Weights `json:"weights"`
 	WeightMB int            `json:"weight_mb"`
-	Epoch    uint64         `json:"epoch"`
+	Epoch    uint64         `json:"epoch"` // unique in the domain; a repaired group gets a new one
 	State    State          `json:"state"`
 	Reason   string         `json:"reason,omitempty"` // why the group does not serve
 	Members  []Member       `json:"members"`          // indexed by rank
@@ -164,7 +166,7 @@
 // VMNames returns the names of the VMs, sorted.
 func (d Domain) VMNames() []string { return slices.Sorted(maps.Keys(d.VMs)) }
 
-// GroupOf returns the group that a VM is a member of; false if there is none.
+// GroupOf returns the group that a VM is a member of; false if the VM is in no group.
 func (d Domain) GroupOf(vm string) (Group, bool) {
 	for _, g := range d.Groups {
 		for _, m := range g.Members {
--- a/internal/group/evidence.go
+++ b/internal/group/evidence.go
@@ -20,22 +20,23 @@
 	// UnassignedSince is the time of the first of the consecutive answers, with the
 	// same boot id, that showed no assignment; zero if the last one showed one.
 	UnassignedSince time.Time
-	// NoRequestsSince is the same for answers without running or queued requests.
+	// NoRequestsSince is the corresponding time for answers without running or queued
+	// requests.
 	NoRequestsSince time.Time
 }
 
 // WithAnswer returns the state after an answer to a probe sent at the given time.
 func (p ProbeState) WithAnswer(s engine.Status, sent time.Time) ProbeState {
-	same := !p.AnsweredAt.IsZero() && p.Status.BootID == s.BootID
+	sameBoot := !p.AnsweredAt.IsZero() && p.Status.BootID == s.BootID
 	unassigned := s.Assignment == nil
-	if !unassigned || !same {
+	if !unassigned || !sameBoot {
 		p.UnassignedSince = time.Time{}
 	}
 	if unassigned && p.UnassignedSince.IsZero() {
 		p.UnassignedSince = sent
 	}
 	noRequests := s.Running == 0 && s.Queued == 0
-	if !noRequests || !same {
+	if !noRequests || !sameBoot {
 		p.NoRequestsSince = time.Time{}
 	}
 	if noRequests && p.NoRequestsSince.IsZero() {
@@ -58,12 +59,13 @@
 // boot ids, zero if they are not. It is sent to other daemons as an age because their
 // clocks differ.
 type Evidence struct {
-	Group   string    `json:"group"`
-	Epoch   uint64    `json:"epoch"`
-	Ready   time.Time `json:"-"`
-	Running int       `json:"running"`
-	Queued  int       `json:"queued"`
-	Slots   int       `json:"slots"`
+	Group string    `json:"group"`
+	Epoch uint64    `json:"epoch"`
+	Ready time.Time `json:"-"`
+	// Running, Queued and Slots are as reported by the engine of rank 0.
+	Running int `json:"running"`
+	Queued  int `json:"queued"`
+	Slots   int `json:"slots"`
 	// Ended is set if the epoch is known to be over because a member's process is
 	// gone or answers with another boot id or assignment. It is final.
 	Ended bool `json:"over,omitempty"`
@@ -84,9 +86,9 @@
 	e := Evidence{Group: g.ID, Epoch: g.Epoch, Ready: now}
 	for rank, m := range g.Members {
 		p := probes[m.VM]
-		if isLost, sure := memberLost(g, rank, p, now, maxAge); isLost {
+		if lost, confirmed := memberLost(g, rank, p, now, maxAge); lost {
 			e.Lost = append(e.Lost, m.VM)
-			e.Ended = e.Ended || sure
+			e.Ended = e.Ended || confirmed
 		}
 		if p.Status.Leaving {
 			e.Leaving = append(e.Leaving, m.VM)
@@ -103,16 +105,16 @@
 	return e
 }
 
-// memberLost reports whether the member of a rank has left this epoch. The second
-// result is false if that is only inferred from missing answers.
-func memberLost(g Group, rank int, p ProbeState, now time.Time, maxAge time.Duration) (isLost, sure bool) {
+// memberLost reports whether the member of a rank has left this epoch. confirmed is
+// false if the loss is only inferred from missing answers.
+func memberLost(g Group, rank int, p ProbeState, now time.Time, maxAge time.Duration) (lost, confirmed bool) {
 	switch {
 	case p.Failures == 0:
-		isLost = !p.AnsweredAt.IsZero() && !memberReady(g, rank, p.Status)
-		return isLost, isLost
+		lost = !p.AnsweredAt.IsZero() && !memberReady(g, rank, p.Status)
+		return lost, lost
 	case p.Refused:
-		isLost = p.Failures >= lostAfterFailures
-		return isLost, isLost
+		lost = p.Failures >= lostAfterFailures
+		return lost, lost
 	}
 	return p.Failures >= lostAfterFailures && now.Sub(p.AnsweredAt) > maxAge, false
 }
--- a/internal/group/plan.go
+++ b/internal/group/plan.go
@@ -21,11 +21,11 @@
 	DowntimeWeight float64
 	StrandedWeight float64
 	Spares         int // VMs of the domain kept free for repairs
-	// EvidenceAge is the greatest age of evidence that a daemon dispatches on.
+	// EvidenceAge is the maximum age of evidence that a daemon dispatches on.
 	EvidenceAge time.Duration
-	// OrderTimeout is the longest time that an order may be in flight.
+	// OrderTimeout is the maximum time that an order may be in flight.
 	OrderTimeout time.Duration
-	// ReportLag is the greatest age of an engine's load report.
+	// ReportLag is the maximum age of an engine's load report.
 	ReportLag time.Duration
 }
 
@@ -64,7 +64,7 @@
 }
 
 // Plan computes the next state of the domain; changed is false if there is nothing
-// to write. It is a pure function and makes only the steps of one pass: the next
+// to write. Plan is a pure function and makes only the steps of one pass: the next
 // pass starts from the written state.
 func Plan(in Input, policy Policy) (next Domain, changed bool) {
 	p := &planner{in: in, policy: policy, domain: in.Domain.Clone()}
@@ -133,7 +133,8 @@
 	return ok && p.in.Now.Sub(since) >= d
 }
 
-// advance fires the triggers that follow from the probes of and evidence on a group.
+// advance fires the trigger that follows from the probes and evidence of a group, if
+// any.
 func (p *planner) advance(id string) {
 	g := p.domain.Groups[id]
 	switch g.State {
@@ -149,7 +150,7 @@
 }
 
 func (p *planner) advanceLoading(g Group) {
-	boots := make([]string, len(g.Members))
+	bootIDs := make([]string, len(g.Members))
 	ready := true
 	for rank, m := range g.Members {
 		probe := p.in.Probes[m.VM]
@@ -158,13 +159,13 @@
 			return
 		}
 		ready = ready && p.fresh(probe) && memberReady(g, rank, probe.Status)
-		boots[rank] = probe.Status.BootID
+		bootIDs[rank] = probe.Status.BootID
 	}
 	if !ready {
 		return
 	}
 	for rank := range g.Members {
-		g.Members[rank].BootID = boots[rank]
+		g.Members[rank].BootID = bootIDs[rank]
 	}
 	p.fire(g, TriggerVerified, "")
 }
@@ -228,18 +229,18 @@
 
 // reusable reports whether a VM has been without an assignment for so long that no
 // daemon has fresh evidence of an earlier epoch. If a member went straight from one
-// epoch to the next, the others would still be at the old one, and a daemon with a
-// stale copy of the domain would dispatch to them. Time before OrderFrom does not
+// epoch to the next, the other members would still be at the old epoch, and a daemon
+// with a stale copy of the domain would dispatch to them. Time before OrderFrom does not
 // count: an order of a previous holder could assign the VM again unnoticed.
 func (p *planner) reusable(vm string) bool {
-	from := p.in.Probes[vm].UnassignedSince
-	if from.IsZero() {
+	since := p.in.Probes[vm].UnassignedSince
+	if since.IsZero() {
 		return false
 	}
-	if from.Before(p.in.OrderFrom) {
-		from = p.in.OrderFrom
+	if since.Before(p.in.OrderFrom) {
+		since = p.in.OrderFrom
 	}
-	return p.in.Now.Sub(from) >= p.policy.reuseDelay()
+	return p.in.Now.Sub(since) >= p.policy.reuseDelay()
 }
 
 // freeVMs lists the VMs that can join a group now: in no group, not departing,
--- a/internal/group/plan_test.go
+++ b/internal/group/plan_test.go
@@ -15,7 +15,7 @@
 
 var testWeights = engine.Weights{Model: "m", Version: "1"}
 
-// testDomain returns a domain with one group of two VMs in the state and a spare VM.
+// testDomain returns a domain with one group of two VMs in the given state and a spare VM.
 func testDomain(state State) Domain {
 	d := NewDomain("d", "here")
 	for _, vm := range []string{"vm0", "vm1", "vm2"} {
@@ -48,10 +48,10 @@
 	return ProbeState{}.WithAnswer(s, since).WithAnswer(s, now)
 }
 
-// After a false alarm all members are still assigned to the old epoch, and a daemon
-// with a stale copy of the domain has fresh evidence of it. If a member could go
+// If no member was really lost, all members are still assigned to the old epoch, and a
+// daemon with a stale copy of the domain has fresh evidence of it. If a member could go
 // straight to the next epoch, that daemon would dispatch to a partial group;
-// models/group.pml shows it with NO_REST.
+// models/group.pml shows this fault with NO_REST.
 func TestMemberEntersEpochOnlyAfterEvidenceExpires(t *testing.T) {
 	now := time.Unix(9000, 0)
 	d := testDomain(StateSuspended)
@@ -106,7 +106,7 @@
 	g := testDomain(StateServing).Groups["d.1"]
 	probes := map[string]ProbeState{"vm0": ready(g, 0, now), "vm1": ready(g, 1, now.Add(-time.Second))}
 	e := Assess(g, probes, now, testPolicy.EvidenceAge)
-	must.Eq(t, now.Add(-time.Second), e.Ready) // of the member whose answer is oldest
+	must.Eq(t, now.Add(-time.Second), e.Ready) // the time of the oldest answer
 	must.SliceEmpty(t, e.Lost)
 
 	restarted := probes["vm1"]
--- a/internal/group/prober.go
+++ b/internal/group/prober.go
@@ -28,7 +28,8 @@
 	// Pools returns the pools of the configuration in force.
 	Pools() []catalog.Pool
 	// Owns reports whether this daemon is among the n live daemons that a duty is
-	// assigned to.
+	// assigned to. A duty is a unit of background work, identified by a name such as
+	// "probe/GROUP".
 	Owns(duty string, n int) bool
 	// PublishDomain passes on a domain object that was read or written.
 	PublishDomain(name string, c Copy)
@@ -62,7 +63,7 @@
 }
 
 // probersPerGroup is the number of daemons that probe each group: with two, evidence
-// stays fresh while the duty of one moves to another daemon.
+// stays fresh while one of the two duties moves to another daemon.
 const probersPerGroup = 2
 
 // Prober probes the members of the serving and draining groups that this daemon is
@@ -71,7 +72,7 @@
 	Engines  engine.Controller
 	View     View
 	Interval time.Duration // between rounds, and the timeout of a round's probes
-	MaxAge   time.Duration // greatest age of an answer that counts as evidence
+	MaxAge   time.Duration // a member without an answer for longer may count as lost
 	probes   map[string]ProbeState
 }
 
--- a/internal/group/reconciler.go
+++ b/internal/group/reconciler.go
@@ -20,8 +20,10 @@
 	View     View
 	Policy   Policy
 	Interval time.Duration // between passes, and the timeout of a pass's probes
-	Lease    time.Duration // greatest age of the proof of being holder to send an order on
-	Log      *zap.Logger
+	// Lease is how long this daemon may send orders after the last read that showed it
+	// as holder.
+	Lease time.Duration
+	Log   *zap.Logger
 }
 
 // vmListInterval is the interval between reads of the platform's VM list.
@@ -35,8 +37,8 @@
 	place  string
 
 	current      Copy
-	verified     time.Time // send time of the last read that showed this daemon as holder
-	orderFrom    time.Time // no orders before this: the previous holder's may be in flight
+	verifiedAt   time.Time // send time of the last read that showed this daemon as holder
+	orderFrom    time.Time // no orders before this: an order of the previous holder may be in flight
 	vmList       []objectapi.VM
 	vmListReadAt time.Time
 	probes       map[string]ProbeState
@@ -80,19 +82,21 @@
 	}
 	r.setCurrent(Copy{obj.Version, d})
 	if d.Holder == r.cfg.Self {
-		r.verified = sent
+		r.verifiedAt = sent
 		return true
 	}
 	return r.takeOver(ctx, sent)
 }
 
+// create creates the domain object without VMs and groups. Errors are ignored: the
+// next pass reads the stored object or tries again.
 func (r *reconciler) create(ctx context.Context) {
 	d := NewDomain(r.domain, r.place)
 	value, err := d.Encode()
 	if err != nil {
 		return
 	}
-	_, _ = r.cfg.Store.Create(ctx, Key(r.domain), value) // the next pass reads the stored object
+	_, _ = r.cfg.Store.Create(ctx, Key(r.domain), value)
 }
 
 // takeOver makes this daemon the holder and sets orderFrom to the time by which the
@@ -104,7 +108,7 @@
 	if !r.write(ctx, next) {
 		return false
 	}
-	r.verified = sent
+	r.verifiedAt = sent
 	r.orderFrom = time.Now()
 	if previous.Slot != "" {
 		r.orderFrom = r.orderFrom.Add(r.cfg.Lease + r.cfg.Policy.OrderTimeout)
@@ -133,9 +137,9 @@
 
 func (r *reconciler) logTransitions(next Domain) {
 	for id, g := range next.Groups {
-		old, was := r.current.Domain.Groups[id]
-		if !was || old.State != g.State || old.Epoch != g.Epoch {
-			r.cfg.Log.Info("group changed state", zap.String("group", id), zap.Uint64("epoch", g.Epoch), zap.String("pool", g.Pool),
+		old, existed := r.current.Domain.Groups[id]
+		if !existed || old.State != g.State || old.Epoch != g.Epoch {
+			r.cfg.Log.Info("group", zap.String("group", id), zap.Uint64("epoch", g.Epoch), zap.String("pool", g.Pool),
 				zap.String("from", string(old.State)), zap.String("to", string(g.State)), zap.String("reason", g.Reason))
 		}
 	}
@@ -199,16 +203,16 @@
 func (r *reconciler) planInput(now time.Time) Input {
 	pools := r.cfg.View.Pools()
 	domains := r.cfg.View.Domains()
-	all := make([]Domain, 0, len(domains))
+	allDomains := make([]Domain, 0, len(domains))
 	for name, c := range domains {
 		if name != r.domain {
-			all = append(all, c.Domain)
+			allDomains = append(allDomains, c.Domain)
 		}
 	}
-	all = append(all, r.current.Domain)
-	sortDomains(all)
+	allDomains = append(allDomains, r.current.Domain)
+	sortDomains(allDomains)
 	return Input{
-		Domain: r.current.Domain, Pools: pools, Want: Allocate(pools, all)[r.domain], VMList: r.vmList,
+		Domain: r.current.Domain, Pools: pools, Want: Allocate(pools, allDomains)[r.domain], VMList: r.vmList,
 		Probes: r.probes, Evidence: r.cfg.View.Evidence(), StateSince: r.stateSince, OrderFrom: r.orderFrom, Now: now,
 	}
 }
@@ -228,7 +232,7 @@
 			}
 			err := r.cfg.Engines.Order(ctx, address, engine.Order{Fence: r.current.Version, Assignment: assignment})
 			if err != nil {
-				r.cfg.Log.Debug("order failed", zap.String("vm", vm), zap.Error(err))
+				r.cfg.Log.Debug("order", zap.String("vm", vm), zap.Error(err))
 			}
 		})
 	}
@@ -236,10 +240,10 @@
 	return len(orders) > 0
 }
 
-// mayOrder reports whether an order may be sent now: the proof of being holder is
-// recent enough that no successor can send orders yet, and no order of a
-// predecessor is in flight.
+// mayOrder reports whether an order may be sent now: the last read that showed this
+// daemon as holder is recent enough that no successor can send orders yet, and no
+// order of a previous holder is in flight. It is called right before each order.
 func (r *reconciler) mayOrder() bool {
 	now := time.Now()
-	return now.Sub(r.verified) < r.cfg.Lease && !now.Before(r.orderFrom)
+	return now.Sub(r.verifiedAt) < r.cfg.Lease && !now.Before(r.orderFrom)
 }
--- a/internal/group/reconciler_set.go
+++ b/internal/group/reconciler_set.go
@@ -28,13 +28,13 @@
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.Interval)
 	defer ticker.Stop()
-	var lastList time.Time
+	var vmListReadAt time.Time
 	for {
 		if !m.loaded {
 			m.load(ctx)
 		}
-		if m.cfg.View.Owns("vm-list", 1) && time.Since(lastList) >= vmListInterval {
-			lastList = time.Now()
+		if m.cfg.View.Owns("vm-list", 1) && time.Since(vmListReadAt) >= vmListInterval {
+			vmListReadAt = time.Now()
 			m.createMissingDomains(ctx)
 		}
 		if m.loaded {
@@ -129,6 +129,7 @@
 // since the engines' answers are due soon.
 const busyIntervalDivisor = 5
 
+// run makes passes until ctx ends.
 func (r *reconciler) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/group/repair.go
+++ b/internal/group/repair.go
@@ -61,12 +61,13 @@
 // resolveShortage decides whether a broken group without enough free VMs waits or is
 // retired. A waiting group returns soonest once a VM is free; a retired one lets its
 // healthy members complete another broken group or form a smaller one. A group is
-// retired if another broken one of at least its priority needs fewer VMs, or if the
-// policy weighs stranded VMs higher than downtime and the members fit another pool.
+// retired if another broken group of at least its priority needs fewer VMs, or if the
+// policy weighs stranded VMs higher than downtime and the healthy members, with the
+// free VMs, suffice for a group that another pool is missing.
 func (p *planner) resolveShortage(g Group, lost []int, broken []Group) {
 	for _, other := range broken {
-		waiting := other.ID != g.ID && p.domain.Groups[other.ID].State == other.State
-		if waiting && len(p.ranksToReplace(other)) < len(lost) && p.priority(other) >= p.priority(g) {
+		stillSuspended := other.ID != g.ID && p.domain.Groups[other.ID].State == other.State
+		if stillSuspended && len(p.ranksToReplace(other)) < len(lost) && p.priority(other) >= p.priority(g) {
 			p.fire(g, TriggerRetire, "its members complete other groups")
 			return
 		}
@@ -84,7 +85,7 @@
 }
 
 // usableElsewhere reports whether the healthy members of a group together with the
-// free VMs could form a group of another pool that is short of one.
+// free VMs could form a group that another pool is missing.
 func (p *planner) usableElsewhere(g Group, healthy int) bool {
 	for _, pool := range p.in.Pools {
 		if pool.Name != g.Pool && p.missing(pool.Name) > 0 && healthy+len(p.freeVMs(engine.Weights{})) >= pool.VMs {
@@ -242,9 +243,9 @@
 		slices.Equal(a.Members, g.Assignment(rank).Members)
 }
 
-// Allocate distributes the replicas of the pools over the domains in their places and
-// returns the wanted number of groups by domain and pool. Existing groups stay where
-// they are; each missing one goes to the domain with the most unused VMs. A stuck
+// Allocate distributes the replicas of each pool over the domains in the pool's places
+// and returns the wanted number of groups by domain and pool. Existing groups stay where
+// they are; each missing group goes to the domain with the most unused VMs. A stuck
 // group counts only if no domain has the capacity to replace it.
 func Allocate(pools []catalog.Pool, domains []Domain) map[string]map[string]int {
 	want := map[string]map[string]int{}
@@ -268,8 +269,9 @@
 	return want
 }
 
-// countExisting adds up to missing existing groups to want, either the stuck ones or
-// the others, serving ones first. It returns the number that is still missing.
+// countExisting adds a pool's existing groups to want, at most as many as are missing
+// and serving groups first: only stuck groups if stuck is set, otherwise only the
+// others. It returns the number of groups that are still missing.
 func countExisting(pool catalog.Pool, domains []Domain, want map[string]map[string]int, missing int, stuck bool) int {
 	for _, s := range []State{StateServing, StateLoading, StateSuspended, StateDraining} {
 		for _, d := range domains {
--- a/internal/group/sim_test.go
+++ b/internal/group/sim_test.go
@@ -39,7 +39,7 @@
 type simReconciler struct {
 	self       Holder
 	current    Copy
-	verified   time.Time
+	verifiedAt time.Time
 	orderFrom  time.Time
 	probes     map[string]ProbeState
 	stateSince map[string]time.Time
@@ -62,9 +62,9 @@
 	delayedOrders []func()
 	policy        Policy
 	pools         []catalog.Pool
-	ignoreFence   bool
-	served        int
-	active        int
+	ignoreFence   bool // engines ignore the fence of orders
+	served        int  // requests served so far
+	activeIndex   int  // of the reconciler that acts unless an outdated one is drawn
 }
 
 func newGroupSim(t *rapid.T) *groupSim {
@@ -117,14 +117,14 @@
 // which resumes after a pause with outdated state.
 func (s *groupSim) actingReconciler() *simReconciler {
 	if rapid.IntRange(0, 19).Draw(s.t, "stale") == 0 {
-		return s.reconcilers[1-s.active]
+		return s.reconcilers[1-s.activeIndex]
 	}
-	return s.reconcilers[s.active]
+	return s.reconcilers[s.activeIndex]
 }
 
 // ensureHolder does the same as reconciler.ensureHolder and takeOver.
 func (s *groupSim) ensureHolder() {
-	r := s.reconcilers[s.active]
+	r := s.reconcilers[s.activeIndex]
 	obj, err := s.store.Get(context.Background(), Key("d"))
 	if err != nil {
 		return
@@ -132,14 +132,14 @@
 	d, _ := DecodeDomain(obj.Value)
 	r.current = Copy{obj.Version, d}
 	if d.Holder == r.self {
-		r.verified = s.now
+		r.verifiedAt = s.now
 		return
 	}
 	previous := d.Holder
 	next := d.Clone()
 	next.Holder = r.self
 	if s.update(r, next) {
-		r.verified, r.orderFrom = s.now, s.now
+		r.verifiedAt, r.orderFrom = s.now, s.now
 		if previous.Slot != "" {
 			r.orderFrom = s.now.Add(simLease + simOrderTimeout)
 		}
@@ -163,7 +163,7 @@
 // plan makes one planning pass of a reconciler on its current state.
 func (s *groupSim) plan() {
 	r := s.actingReconciler()
-	if r.verified.IsZero() {
+	if r.verifiedAt.IsZero() {
 		return
 	}
 	var names []string
@@ -198,7 +198,7 @@
 // before sending; an order may be in flight for up to the order timeout.
 func (s *groupSim) order() {
 	r := s.actingReconciler()
-	if s.now.Sub(r.verified) >= simLease || s.now.Before(r.orderFrom) || r.verified.IsZero() {
+	if s.now.Sub(r.verifiedAt) >= simLease || s.now.Before(r.orderFrom) || r.verifiedAt.IsZero() {
 		return
 	}
 	orders := Orders(r.current.Domain, r.probes)
@@ -221,13 +221,14 @@
 	}
 }
 
-func (s *groupSim) dispatcher() *simDispatcher {
+func (s *groupSim) pickDispatcher() *simDispatcher {
 	return s.dispatchers[rapid.IntRange(0, len(s.dispatchers)-1).Draw(s.t, "daemon")]
 }
 
-// refreshDomain updates one daemon's copy of the domain; it may run rarely.
+// refreshDomain updates one daemon's copy of the domain. Between calls, which may be
+// far apart, the copy is stale.
 func (s *groupSim) refreshDomain() {
-	d := s.dispatcher()
+	d := s.pickDispatcher()
 	if obj, err := s.store.Get(context.Background(), Key("d")); err == nil && obj.Version > d.copy.Version {
 		domain, _ := DecodeDomain(obj.Value)
 		d.copy = Copy{obj.Version, domain}
@@ -236,7 +237,7 @@
 
 // probeGroups probes the serving groups in one daemon's copy of the domain.
 func (s *groupSim) probeGroups() {
-	d := s.dispatcher()
+	d := s.pickDispatcher()
 	for _, id := range d.copy.Domain.GroupIDs() {
 		g := d.copy.Domain.Groups[id]
 		if g.State != StateServing {
@@ -252,7 +253,7 @@
 // dispatch sends a request to each group that the router would consider and checks
 // by the engines' state that no partially assembled group serves it.
 func (s *groupSim) dispatch() {
-	d := s.dispatcher()
+	d := s.pickDispatcher()
 	for _, id := range d.copy.Domain.GroupIDs() {
 		g := d.copy.Domain.Groups[id]
 		e, known := d.evidence[id]
@@ -264,8 +265,9 @@
 }
 
 // checkServed checks a request that arrives at rank 0. An engine that is down, frozen
-// or at another epoch does not serve it. If it is served, no member may work for
-// another group or epoch; the group itself detects members that are down or restarted.
+// or at another epoch does not serve the request. If the request is served, no member
+// may work for another group or epoch; the group itself detects members that are down
+// or restarted.
 func (s *groupSim) checkServed(g Group) {
 	lead := s.vm(g.Members[0].VM)
 	status := lead.engine.Status()
@@ -285,7 +287,8 @@
 	}
 }
 
-// freezeUntilLost freezes a VM just long enough for it to count as lost.
+// freezeUntilLost freezes a VM just long enough for it to count as lost although it
+// never stopped.
 func (s *groupSim) freezeUntilLost() {
 	v := s.pickVM()
 	v.frozen = true
@@ -342,7 +345,7 @@
 	served := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newGroupSim(t)
-		act := func(f func()) func(*rapid.T) {
+		action := func(f func()) func(*rapid.T) {
 			return func(t *rapid.T) { s.t = t; f() }
 		}
 		for _, v := range s.vms {
@@ -359,25 +362,25 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"":          s.checkStored,
-			"round":     act(round),
-			"round two": act(round),
-			"advance":   act(s.advance),
-			"advance 2": act(s.advance),
-			"hold":      act(s.ensureHolder),
-			"plan":      act(s.plan),
-			"order":     act(s.order),
-			"learn":     act(s.refreshDomain),
-			"look":      act(s.probeGroups),
-			"dispatch":  act(s.dispatch),
-			"work":      act(s.probeAndDispatch),
-			"work two":  act(s.probeAndDispatch),
-			"alarm":     act(s.freezeUntilLost),
-			"switch":    act(func() { s.active = 1 - s.active }),
-			"kill":      act(func() { s.pickVM().up = false }),
-			"restart":   act(s.restart),
-			"freeze":    act(func() { v := s.pickVM(); v.frozen = !v.frozen }),
-			"list":      act(s.publishList),
-			"drain":     act(func() { s.store.SetVMState(s.pickVM().name, objectapi.VMLeaving) }),
+			"round":     action(round),
+			"round two": action(round),
+			"advance":   action(s.advance),
+			"advance 2": action(s.advance),
+			"hold":      action(s.ensureHolder),
+			"plan":      action(s.plan),
+			"order":     action(s.order),
+			"learn":     action(s.refreshDomain),
+			"look":      action(s.probeGroups),
+			"dispatch":  action(s.dispatch),
+			"work":      action(s.probeAndDispatch),
+			"work two":  action(s.probeAndDispatch),
+			"alarm":     action(s.freezeUntilLost),
+			"switch":    action(func() { s.activeIndex = 1 - s.activeIndex }),
+			"kill":      action(func() { s.pickVM().up = false }),
+			"restart":   action(s.restart),
+			"freeze":    action(func() { v := s.pickVM(); v.frozen = !v.frozen }),
+			"list":      action(s.publishList),
+			"drain":     action(func() { s.store.SetVMState(s.pickVM().name, objectapi.VMLeaving) }),
 		})
 		served += s.served
 	})
--- a/internal/group/state.go
+++ b/internal/group/state.go
@@ -16,7 +16,7 @@
 	StateServing   State = "serving"   // every member was seen ready at this epoch
 	StateSuspended State = "suspended" // the epoch is over and members are released
 	StateDraining  State = "draining"  // finishes running requests, accepts no new ones
-	StateRetiring  State = "retiring"  // members are being released for other groups
+	StateRetiring  State = "retiring"  // members are being released, the group is then removed
 	StateReleased  State = "released"  // removed from the domain object
 )
 
