--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -2,6 +2,9 @@
 // assignment of duties to live daemons. A duty is a unit of background work, such as
 // probing one group. Duties only divide the work: no safety property depends on a
 // single daemon having a duty.
+//
+// A daemon registers in the configuration head under a slot, a name that it keeps over
+// restarts. An incarnation identifies one process that runs under a slot.
 package cluster
 
 import (
@@ -56,9 +59,9 @@
 	HeadVersion uint64    `json:"head_version"`
 	Head        *HeadCopy `json:"head,omitempty"`
 	// ContactAges holds, for each slot of the head in slot order, the time since the
-	// peer's last contact with it, in units of the admission lease divided by
-	// ContactAgeUnits. It is valid only for the same head version. It lets a few
-	// exchanges keep many daemons known as alive.
+	// peer's last contact with that slot, in units of the admission lease divided by
+	// ContactAgeUnits. It is valid only if the caller has the same head version. Because
+	// contacts are relayed, a few exchanges suffice to keep many daemons known as alive.
 	ContactAges []byte         `json:"heard_ages,omitempty"`
 	PlatformAge int64          `json:"platform_age_ms"` // milliseconds since the freshest known read of the head; -1: none
 	Domains     []DomainReport `json:"domains,omitempty"`
--- a/internal/cluster/rendezvous.go
+++ b/internal/cluster/rendezvous.go
@@ -9,7 +9,7 @@
 	hashes []uint64
 }
 
-// NewRendezvousHash returns a hash over the given slots.
+// NewRendezvousHash returns the assignment of duties to the given slots.
 func NewRendezvousHash(slots []string) RendezvousHash {
 	hashes := make([]uint64, len(slots))
 	for i, slot := range slots {
@@ -18,8 +18,9 @@
 	return RendezvousHash{slots, hashes}
 }
 
-// weight returns the weight of a slot for a duty, both given by their hashes. The
-// mixing makes the weights of different pairs independent.
+// weight returns the weight of a slot for a duty, both given by their hashes. Mixing
+// with the 64-bit finalizer of MurmurHash3 makes the weights of different pairs
+// independent.
 func weight(slot, duty uint64) uint64 {
 	const m1, m2 = 0xff51afd7ed558ccd, 0xc4ceb9fe1a85ec53
 	h := slot ^ (duty * m2)
@@ -31,11 +32,11 @@
 }
 
 // Owner returns the slot with the highest weight for a duty, "" if there are no slots.
-func (d RendezvousHash) Owner(duty string) string {
+func (r RendezvousHash) Owner(duty string) string {
 	best, bestWeight := "", uint64(0)
 	h := xxhash.Sum64String(duty)
-	for i, slot := range d.slots {
-		if w := weight(d.hashes[i], h); best == "" || w > bestWeight {
+	for i, slot := range r.slots {
+		if w := weight(r.hashes[i], h); best == "" || w > bestWeight {
 			best, bestWeight = slot, w
 		}
 	}
@@ -44,14 +45,14 @@
 
 // Owns reports whether slot is one of the n slots with the highest weights for a duty:
 // it is one of the slots and fewer than n others have a higher weight.
-func (d RendezvousHash) Owns(slot, duty string, n int) bool {
+func (r RendezvousHash) Owns(slot, duty string, n int) bool {
 	h := xxhash.Sum64String(duty)
 	own, present := weight(xxhash.Sum64String(slot), h), false
 	higher := 0
-	for i, other := range d.slots {
+	for i, other := range r.slots {
 		if other == slot {
 			present = true
-		} else if weight(d.hashes[i], h) > own {
+		} else if weight(r.hashes[i], h) > own {
 			higher++
 		}
 	}
--- a/internal/cluster/rendezvous_test.go
+++ b/internal/cluster/rendezvous_test.go
@@ -37,13 +37,13 @@
 	for i := range 9 {
 		slots = append(slots, fmt.Sprintf("entry-%d", i))
 	}
-	held := map[string]int{}
-	d := NewRendezvousHash(slots)
+	dutiesOf := map[string]int{}
+	hash := NewRendezvousHash(slots)
 	const duties = 9000
 	for i := range duties {
-		held[d.Owner(fmt.Sprintf("probe/rg-a.%d", i))]++
+		dutiesOf[hash.Owner(fmt.Sprintf("probe/rg-a.%d", i))]++
 	}
-	for slot, n := range held {
+	for slot, n := range dutiesOf {
 		must.Between(t, 800, n, 1200, must.Sprint(slot))
 	}
 }
