--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -17,7 +17,7 @@
 // the number of daemons and groups, for docs/CAPACITY.md.
 
 // newFleetState returns the control state of one daemon in a fleet without faults, and
-// the time that it is as of.
+// the time at which that state is current.
 func newFleetState(daemons, groups, vmsPerGroup int) (*state, time.Time) {
 	now := time.Now()
 	s := newState(Config{Slot: "d000", Incarnation: "i", SyncInterval: 250 * time.Millisecond, AdmissionLease: 2 * time.Second, EvidenceAge: 1500 * time.Millisecond}, now)
@@ -39,14 +39,14 @@
 		d := group.NewDomain(fmt.Sprintf("dom%d", i), "rio-grande")
 		for g := i; g < groups; g += domains {
 			d.LastEpoch++
-			member := group.Group{ID: fmt.Sprintf("%s.%d", d.Name, g), Pool: "p@1", Epoch: d.LastEpoch, State: group.StateServing, Weights: engine.Weights{Model: "m", Version: "1"}}
+			replica := group.Group{ID: fmt.Sprintf("%s.%d", d.Name, g), Pool: "p@1", Epoch: d.LastEpoch, State: group.StateServing, Weights: engine.Weights{Model: "m", Version: "1"}}
 			for v := range vmsPerGroup {
 				vm := fmt.Sprintf("vm-%d-%d", g, v)
 				d.VMs[vm] = group.VMRecord{Address: "10.0.0.1:9000", Accelerators: 2}
-				member.Members = append(member.Members, group.Member{VM: vm, Address: "10.0.0.1:9000", BootID: "01234567-89ab-cdef-0123-456789abcdef"})
+				replica.Members = append(replica.Members, group.Member{VM: vm, Address: "10.0.0.1:9000", BootID: "01234567-89ab-cdef-0123-456789abcdef"})
 			}
-			d.Groups[member.ID] = member
-			s.observeEvidence(group.Evidence{Group: member.ID, Epoch: member.Epoch, Ready: now, Running: 4, Slots: 8}, now)
+			d.Groups[replica.ID] = replica
+			s.observeEvidence(group.Evidence{Group: replica.ID, Epoch: replica.Epoch, Ready: now, Running: 4, Slots: 8}, now)
 		}
 		s.observeDomain(d.Name, group.Copy{Version: uint64(20 + i), Domain: d}, now)
 	}
@@ -86,10 +86,10 @@
 			for range b.N {
 				request, _ := json.Marshal(snap.request())
 				reply, _ := json.Marshal(snap.reply(snap.request(), now, s.cfg))
-				var back cluster.SyncReply
-				_ = json.Unmarshal(reply, &back)
-				back.Slot = "d001"
-				s.observeSyncReply(back, now, now)
+				var received cluster.SyncReply
+				_ = json.Unmarshal(reply, &received)
+				received.Slot = "d001"
+				s.observeSyncReply(received, now, now)
 				bytes = len(request) + len(reply)
 			}
 			b.ReportMetric(float64(bytes), "bytes/exchange")
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -36,7 +36,8 @@
 // Snapshot returns the newest snapshot.
 func (c *Control) Snapshot() *Snapshot { return c.current.Load() }
 
-// refreshInterval is the interval of snapshots when there are no events.
+// refreshInterval is the interval of snapshots when there are no events: leases and the
+// states of peers also change with time.
 const refreshInterval = 50 * time.Millisecond
 
 // gatherFactor bounds the processor time spent on snapshots: after each one, the loop
@@ -86,8 +87,9 @@
 }
 
 // gatherTime returns how long events are gathered after a snapshot that took the given
-// time to build. It is at most the sync interval, because the admission lease is renewed
-// only in snapshots: after a slow one on a busy machine the lease would expire.
+// time to build: at most the sync interval, at which peers' replies arrive. The admission
+// lease is renewed only in snapshots; without this limit, a snapshot that was slow on a
+// busy machine delayed the next one until the lease had expired.
 func (c *Control) gatherTime(took time.Duration) time.Duration {
 	return min(took*gatherFactor, c.cfg.SyncInterval)
 }
@@ -138,8 +140,8 @@
 	})
 }
 
-// Offer applies a head that a peer wrote and returns once the published snapshot
-// contains it. It returns ctx's error if ctx ends first.
+// Offer applies a head that a peer wrote and returns once a published snapshot has the
+// version of this head or a newer one. It returns ctx's error if ctx ends first.
 func (c *Control) Offer(ctx context.Context, h cluster.HeadCopy) (cluster.OfferReply, error) {
 	c.call(ctx, func(s *state, now time.Time) { s.observeHead(h.Head, h.Version, now) })
 	snap, err := c.Await(ctx, func(s *Snapshot) bool { return s.HeadVersion >= h.Version })
@@ -173,12 +175,12 @@
 	_, _ = c.Await(ctx, func(s *Snapshot) bool { return s.Stopping })
 }
 
-// Await waits until the newest snapshot satisfies ok and returns it. If ctx ends first,
-// it returns the newest snapshot and ctx's error.
-func (c *Control) Await(ctx context.Context, ok func(*Snapshot) bool) (*Snapshot, error) {
+// Await waits until the newest snapshot satisfies condition and returns that snapshot.
+// If ctx ends first, it returns the newest snapshot and ctx's error.
+func (c *Control) Await(ctx context.Context, condition func(*Snapshot) bool) (*Snapshot, error) {
 	for {
 		s := c.Snapshot()
-		if ok(s) {
+		if condition(s) {
 			return s, nil
 		}
 		select {
@@ -214,8 +216,8 @@
 func (c *Control) Owns(duty string, n int) bool { return c.Snapshot().Owns(duty, n) }
 
 // PublishDomain implements group.View.
-func (c *Control) PublishDomain(name string, copied group.Copy) {
-	c.enqueue(func(s *state, now time.Time) { s.observeDomain(name, copied, now) })
+func (c *Control) PublishDomain(name string, versioned group.Copy) {
+	c.enqueue(func(s *state, now time.Time) { s.observeDomain(name, versioned, now) })
 }
 
 // PublishEvidence implements group.View.
--- a/internal/control/pack.go
+++ b/internal/control/pack.go
@@ -9,8 +9,9 @@
 )
 
 // Evidence on all groups of a domain is relayed in packed form, one entry per group in
-// the order of GroupIDs. The version of the domain object determines the groups and
-// epochs. Evidence with lost or leaving members or an ended epoch is also sent in full.
+// the order of GroupIDs. An entry names neither group nor epoch: both follow from the
+// version of the domain object. Evidence with lost or leaving members or an ended epoch
+// is also sent in full.
 //
 //	byte 0     age in units of the evidence age / ageUnits, rounded up; unknownAge: none
 //	bytes 1-2  running, 3-4 queued, 5-6 slots, big endian, capped
@@ -56,9 +57,9 @@
 		if entry[0] == unknownAge {
 			continue
 		}
-		number := func(at int) int { return int(binary.BigEndian.Uint16(entry[at:])) }
+		uint16At := func(at int) int { return int(binary.BigEndian.Uint16(entry[at:])) }
 		out = append(out, group.Evidence{Group: id, Epoch: d.Groups[id].Epoch, Ready: sent.Add(-time.Duration(entry[0]) * unit),
-			Running: number(1), Queued: number(3), Slots: number(5)})
+			Running: uint16At(1), Queued: uint16At(3), Slots: uint16At(5)})
 	}
 	return out
 }
--- a/internal/control/sim_test.go
+++ b/internal/control/sim_test.go
@@ -34,22 +34,23 @@
 	now              time.Time
 	head             revision.Head
 	version          uint64
-	outage           bool
+	storeOutage      bool
 	nodes            []*simNode
-	peerPartitioned  map[[2]int]bool
-	storeUnreachable map[int]bool
-	accepted         uint64
-	processes        int
+	peerPartitioned  map[[2]int]bool // by pair of nodes, lower index first
+	storeUnreachable map[int]bool    // by node
+	acceptedRevision uint64          // highest revision that any daemon knows as accepted
+	processCount     int             // processes started so far; numbers the incarnations
 	inFlight         []simReply
-	acceptedBy       string
+	acceptedBy       string // slot of the first daemon that knew acceptedRevision as accepted
 }
 
-// simReply is a sync reply in flight.
+// simReply is a sync reply in flight. It is dropped if the requesting process has been
+// replaced when it arrives.
 type simReply struct {
-	to    int
-	owner *state // the process that sent the request
-	reply cluster.SyncReply
-	sent  time.Time
+	toNode    int
+	requester *state // the process that sent the request
+	reply     cluster.SyncReply
+	sent      time.Time
 }
 
 func newSim(t *rapid.T, n int) *sim {
@@ -67,8 +68,8 @@
 
 func (s *sim) startProcess(i int) {
 	n := s.nodes[i]
-	s.processes++
-	n.cfg.Incarnation = fmt.Sprintf("inc%d", s.processes)
+	s.processCount++
+	n.cfg.Incarnation = fmt.Sprintf("inc%d", s.processCount)
 	n.state, n.running, n.paused = newState(n.cfg, s.now), true, false
 	n.snap = nil
 	s.refresh(i)
@@ -78,12 +79,12 @@
 func (s *sim) refresh(i int) {
 	n := s.nodes[i]
 	n.snap = n.state.snapshot(s.now, n.snap)
-	if n.snap.AcceptedUpTo > s.accepted {
-		s.accepted, s.acceptedBy = n.snap.AcceptedUpTo, n.cfg.Slot
+	if n.snap.AcceptedUpTo > s.acceptedRevision {
+		s.acceptedRevision, s.acceptedBy = n.snap.AcceptedUpTo, n.cfg.Slot
 	}
 }
 
-func (s *sim) canReachStore(i int) bool { return s.isUp(i) && !s.outage && !s.storeUnreachable[i] }
+func (s *sim) canReachStore(i int) bool { return s.isUp(i) && !s.storeOutage && !s.storeUnreachable[i] }
 func (s *sim) isUp(i int) bool          { return s.nodes[i].running && !s.nodes[i].paused }
 
 // write makes one conditional update that is based on a linearizable read.
@@ -107,7 +108,7 @@
 	}
 }
 
-func (s *sim) pick() int { return rapid.IntRange(0, len(s.nodes)-1).Draw(s.t, "node") }
+func (s *sim) pickNode() int { return rapid.IntRange(0, len(s.nodes)-1).Draw(s.t, "node") }
 
 func (s *sim) advance() {
 	ms := rapid.SampledFrom([]int{10, 100, 250, 600, 1100, 2600}).Draw(s.t, "ms")
@@ -119,14 +120,14 @@
 	}
 }
 
-func (s *sim) change() {
-	if i := s.pick(); s.canReachStore(i) {
+func (s *sim) changeDoc() {
+	if i := s.pickNode(); s.canReachStore(i) {
 		s.write(i, s.head.WithDoc(s.head.Doc, revision.Change{}))
 	}
 }
 
 func (s *sim) poll() {
-	if i := s.pick(); s.canReachStore(i) {
+	if i := s.pickNode(); s.canReachStore(i) {
 		s.register(i)
 		s.read(i)
 	}
@@ -134,27 +135,27 @@
 
 // startSync sends a sync request. The reply is built now and delivered later or never.
 func (s *sim) startSync() {
-	i, j := s.pick(), s.pick()
+	i, j := s.pickNode(), s.pickNode()
 	if i == j || !s.isUp(i) {
 		return
 	}
-	asker := s.nodes[i].state
+	requester := s.nodes[i].state
 	switch peer := s.nodes[j]; {
 	case !peer.running:
-		asker.observeRefusal(peer.cfg.Slot, s.now)
+		requester.observeRefusal(peer.cfg.Slot, s.now)
 		s.refresh(i)
 	case peer.paused || s.peerPartitioned[[2]int{min(i, j), max(i, j)}]:
 	default:
 		s.refresh(j)
 		reply := peer.snap.reply(s.nodes[i].snap.request(), s.now, peer.cfg)
-		s.inFlight = append(s.inFlight, simReply{to: i, owner: asker, reply: reply, sent: s.now})
+		s.inFlight = append(s.inFlight, simReply{toNode: i, requester: requester, reply: reply, sent: s.now})
 		if rapid.Bool().Draw(s.t, "at once") {
 			s.deliver()
 		}
 	}
 }
 
-// syncAll makes every pair of connected daemons exchange without delay.
+// syncAll makes every pair of connected daemons exchange their states without delay.
 func (s *sim) syncAll() {
 	for i := range s.nodes {
 		for j := range s.nodes {
@@ -178,28 +179,28 @@
 	}
 	r := s.inFlight[0]
 	s.inFlight = s.inFlight[1:]
-	if n := s.nodes[r.to]; s.isUp(r.to) && n.state == r.owner {
+	if n := s.nodes[r.toNode]; s.isUp(r.toNode) && n.state == r.requester {
 		n.state.observeSyncReply(r.reply, r.sent, s.now)
-		s.refresh(r.to)
+		s.refresh(r.toNode)
 	}
 }
 
 func (s *sim) togglePeerPartition() {
-	i, j := s.pick(), s.pick()
+	i, j := s.pickNode(), s.pickNode()
 	key := [2]int{min(i, j), max(i, j)}
 	s.peerPartitioned[key] = !s.peerPartitioned[key]
 }
 
 func (s *sim) toggleStoreAccess() {
-	i := s.pick()
+	i := s.pickNode()
 	s.storeUnreachable[i] = !s.storeUnreachable[i]
 }
 
-func (s *sim) kill()    { s.nodes[s.pick()].running = false }
-func (s *sim) restart() { s.startProcess(s.pick()) }
+func (s *sim) kill()    { s.nodes[s.pickNode()].running = false }
+func (s *sim) restart() { s.startProcess(s.pickNode()) }
 
 func (s *sim) togglePause() {
-	i := s.pick()
+	i := s.pickNode()
 	s.nodes[i].paused = !s.nodes[i].paused
 	if s.isUp(i) {
 		s.refresh(i)
@@ -207,15 +208,15 @@
 }
 
 func (s *sim) recordAccepted() {
-	i := s.pick()
+	i := s.pickNode()
 	if s.canReachStore(i) && s.nodes[i].snap.AcceptedUpTo >= s.head.Revision && s.head.Accepted < s.head.Revision {
 		s.write(i, s.head.WithAccepted())
 	}
 }
 
-// remove removes a slot without confirmation that its process has stopped.
-func (s *sim) remove() {
-	i, j := s.pick(), s.pick()
+// removeMember removes a slot without confirmation that its process has stopped.
+func (s *sim) removeMember() {
+	i, j := s.pickNode(), s.pickNode()
 	if _, member := s.head.Members[s.nodes[j].cfg.Slot]; i != j && member && s.canReachStore(i) {
 		s.write(i, s.head.WithoutMember(s.nodes[j].cfg.Slot, false))
 	}
@@ -225,9 +226,9 @@
 // admitted. Paused processes count because they may resume at any time.
 func (s *sim) checkAdmission(t *rapid.T) {
 	for _, n := range s.nodes {
-		if n.running && n.snap.MayAdmit(s.now) && n.snap.Head.Revision < s.accepted {
+		if n.running && n.snap.MayAdmit(s.now) && n.snap.Head.Revision < s.acceptedRevision {
 			t.Fatalf("%s (paused %t) admits under revision %d; %d was accepted by %s",
-				n.cfg.Slot, n.paused, n.snap.Head.Revision, s.accepted, s.acceptedBy)
+				n.cfg.Slot, n.paused, n.snap.Head.Revision, s.acceptedRevision, s.acceptedBy)
 		}
 	}
 }
@@ -237,27 +238,27 @@
 func TestAcceptedIsInForceEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.IntRange(2, 5).Draw(t, "daemons"))
-		act := func(f func()) func(*rapid.T) {
+		action := func(f func()) func(*rapid.T) {
 			return func(t *rapid.T) { s.t = t; f() }
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"":               s.checkAdmission,
-			"advance":        act(s.advance),
-			"advance again":  act(s.advance),
-			"change":         act(s.change),
-			"poll":           act(s.poll),
-			"ask":            act(s.startSync),
-			"sync all":       act(s.syncAll),
-			"deliver":        act(s.deliver),
-			"cut peers":      act(s.togglePeerPartition),
-			"cut store":      act(s.toggleStoreAccess),
-			"outage":         act(func() { s.outage = !s.outage }),
-			"kill":           act(s.kill),
-			"restart":        act(s.restart),
-			"pause":          act(s.togglePause),
-			"accept":         act(s.recordAccepted),
-			"remove":         act(s.remove),
-			"revision grows": act(s.replayOldHead),
+			"advance":        action(s.advance),
+			"advance again":  action(s.advance),
+			"change":         action(s.changeDoc),
+			"poll":           action(s.poll),
+			"ask":            action(s.startSync),
+			"sync all":       action(s.syncAll),
+			"deliver":        action(s.deliver),
+			"cut peers":      action(s.togglePeerPartition),
+			"cut store":      action(s.toggleStoreAccess),
+			"outage":         action(func() { s.storeOutage = !s.storeOutage }),
+			"kill":           action(s.kill),
+			"restart":        action(s.restart),
+			"pause":          action(s.togglePause),
+			"accept":         action(s.recordAccepted),
+			"remove":         action(s.removeMember),
+			"revision grows": action(s.replayOldHead),
 		})
 	})
 }
@@ -265,7 +266,7 @@
 // replayOldHead applies an old head to a node, as a stale read would, and checks that
 // its revision does not go back.
 func (s *sim) replayOldHead() {
-	i := s.pick()
+	i := s.pickNode()
 	n := s.nodes[i]
 	if !s.isUp(i) {
 		return
--- a/internal/control/slow_snapshot_test.go
+++ b/internal/control/slow_snapshot_test.go
@@ -13,8 +13,9 @@
 )
 
 // Guards against a daemon that admits no requests although all its peers answer: on a
-// busy machine a snapshot took about 10 ms, the loop then gathered events for 200 times as
-// long, and the 2 s admission lease expired before the next snapshot renewed it.
+// busy machine a snapshot took about 10 ms of wall time, the loop then gathered events for
+// 200 times as long, and the 2 s admission lease expired before the next snapshot renewed
+// it.
 func TestAdmissionOutlastsASlowSnapshot(t *testing.T) {
 	for _, took := range []time.Duration{time.Millisecond, 15 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(took.String(), func(t *testing.T) {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -40,11 +40,11 @@
 	AcceptedUpTo uint64
 	// WaitingFor lists the slots that have not acknowledged the head's revision.
 	WaitingFor []string
-	Live       []string // slots of the daemons that duties are assigned to
+	Live       []string // slots of the daemons that can be assigned duties
 	owners     cluster.RendezvousHash
-	Peers      map[string]Peer
-	Domains    map[string]group.Copy
-	Evidence   map[string]group.Evidence
+	Peers      map[string]Peer             // by slot
+	Domains    map[string]group.Copy       // by name
+	Evidence   map[string]group.Evidence   // by group id
 	Targets    map[string][]*router.Target // by pool
 	ByDigest   map[string]string           // token digest -> workspace
 	Pools      []catalog.Pool
@@ -64,15 +64,17 @@
 // to.
 func (s *Snapshot) Owns(duty string, n int) bool { return s.owners.Owns(s.Slot, duty, n) }
 
-// Owner returns the slot of the live daemon that a duty is assigned to first, "" if
-// there is none.
+// Owner returns the slot of the live daemon that a duty is assigned to if only one
+// daemon has it, "" if no daemon is live.
 func (s *Snapshot) Owner(duty string) string { return s.owners.Owner(duty) }
 
 // headPollers is the number of daemons that poll the head. The others poll it only if
 // they receive no recent read from their peers.
 const headPollers = 2
 
-// PollDue reports whether this daemon should read the head from the platform at now.
+// PollDue reports whether this daemon should read the head from the platform at now: a
+// head poller once the freshest known read is a quarter of the lease old, any other
+// daemon once it is half of the lease old.
 func (s *Snapshot) PollDue(now time.Time, lease time.Duration) bool {
 	age := now.Sub(s.PlatformAsOf)
 	return age >= lease/2 || age >= lease/4 && s.Owns("poll", headPollers)
@@ -114,11 +116,11 @@
 func (s *state) peers(now time.Time) map[string]Peer {
 	out := make(map[string]Peer, len(s.head.Members))
 	for slot, m := range s.head.Members {
-		h := s.contacts[slot]
+		contact := s.contacts[slot]
 		if slot == s.cfg.Slot {
-			h.Revision, h.At = s.head.Revision, now
+			contact.Revision, contact.At = s.head.Revision, now
 		}
-		out[slot] = Peer{Member: m, State: s.peerState(slot, now), Revision: h.Revision, HeardAt: h.At, Refused: h.Refused.After(h.At)}
+		out[slot] = Peer{Member: m, State: s.peerState(slot, now), Revision: contact.Revision, HeardAt: contact.At, Refused: contact.Refused.After(contact.At)}
 	}
 	return out
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -18,7 +18,7 @@
 	Incarnation    string
 	SyncInterval   time.Duration
 	AdmissionLease time.Duration
-	EvidenceAge    time.Duration // greatest age of evidence to act on
+	EvidenceAge    time.Duration // maximum age of evidence to act on
 }
 
 // state is the whole control state. It belongs to the goroutine of Control.Run.
@@ -29,24 +29,24 @@
 	lease        revision.Lease
 	acks         revision.Acks
 	acceptedUpTo uint64                        // highest revision known to be accepted
-	contacts     map[string]revision.Hearing   // last contact by slot
+	contacts     map[string]revision.Hearing   // last contact with each slot
 	loads        map[string]cluster.DaemonLoad // by slot
 	domains      map[string]group.Copy
 	evidence     map[string]group.Evidence
 	servingSince map[string]time.Time // by group.StateKey: when the epoch was first seen serving
 	stopping     bool
-	started      time.Time
+	startedAt    time.Time
 }
 
 func newState(cfg Config, now time.Time) *state {
 	return &state{
 		cfg: cfg, head: revision.NewHead(), contacts: map[string]revision.Hearing{}, loads: map[string]cluster.DaemonLoad{},
-		domains: map[string]group.Copy{}, evidence: map[string]group.Evidence{}, servingSince: map[string]time.Time{}, started: now,
+		domains: map[string]group.Copy{}, evidence: map[string]group.Evidence{}, servingSince: map[string]time.Time{}, startedAt: now,
 	}
 }
 
-// observeHead applies a head if it is newer. An older one, as a stale read returns it,
-// is ignored.
+// observeHead applies a head if it is newer than the current one. An older head, which a
+// stale read may return, is ignored so that no change is ever undone.
 func (s *state) observeHead(head revision.Head, version uint64, now time.Time) {
 	if version <= s.headVersion || head.Revision < s.head.Revision {
 		return
@@ -96,16 +96,17 @@
 }
 
 // recordContact records a contact with a slot unless a later one is known.
-func (s *state) recordContact(slot string, h revision.Hearing) {
+func (s *state) recordContact(slot string, contact revision.Hearing) {
 	old := s.contacts[slot]
-	h.Refused = old.Refused
-	if old.Incarnation == h.Incarnation && !h.At.After(old.At) {
+	contact.Refused = old.Refused
+	if old.Incarnation == contact.Incarnation && !contact.At.After(old.At) {
 		return
 	}
-	s.contacts[slot] = h
+	s.contacts[slot] = contact
 }
 
-// mergeRelayedContacts records the peer's own contacts, at their age before sent.
+// mergeRelayedContacts records the peer's contacts with other slots. Their ages are
+// counted back from the time at which the request was sent.
 func (s *state) mergeRelayedContacts(r cluster.SyncReply, sent time.Time) {
 	slots := s.head.Slots()
 	if len(r.ContactAges) != len(slots) {
@@ -127,9 +128,9 @@
 	if _, member := s.head.Members[slot]; !member {
 		return
 	}
-	h := s.contacts[slot]
-	h.Refused = at
-	s.contacts[slot] = h
+	contact := s.contacts[slot]
+	contact.Refused = at
+	s.contacts[slot] = contact
 }
 
 // PeerState is the liveness of a registered daemon as seen by this one.
@@ -155,15 +156,15 @@
 		}
 		return PeerDead
 	}
-	h := s.contacts[slot]
-	last := h.At
+	contact := s.contacts[slot]
+	last := contact.At
 	if last.IsZero() {
-		last = s.started
+		last = s.startedAt
 	}
 	switch {
-	case h.Refused.After(h.At):
+	case contact.Refused.After(contact.At):
 		return PeerDead
-	case now.Sub(last) <= suspectAfterIntervals*s.cfg.SyncInterval && !h.At.IsZero():
+	case now.Sub(last) <= suspectAfterIntervals*s.cfg.SyncInterval && !contact.At.IsZero():
 		return PeerAlive
 	case now.Sub(last) <= 2*s.cfg.AdmissionLease:
 		return PeerSuspect
@@ -221,8 +222,9 @@
 }
 
 // observeEvidence keeps the evidence of the latest epoch with the latest Ready time. A
-// prober that can't reach a member is ignored while another still sees the whole group
-// ready. Leaving members and ended epochs are taken from any prober.
+// report of a prober that can't reach a member is ignored while the report of another
+// prober that saw the whole group ready is fresh. Leaving members and ended epochs are
+// taken from any prober.
 func (s *state) observeEvidence(e group.Evidence, received time.Time) {
 	old, known := s.evidence[e.Group]
 	if known && old.Epoch > e.Epoch {
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -56,7 +56,8 @@
 	s := testState(now)
 	ready := group.Evidence{Group: "g", Epoch: 3, Ready: now}
 	s.observeEvidence(ready, now)
-	// Another prober can't reach a member: ignored while the first report is fresh.
+	// Another prober can't reach a member. Its report is ignored while the first one is
+	// fresh.
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Lost: []string{"vm"}}, now.Add(time.Second))
 	must.SliceEmpty(t, s.evidence["g"].Lost)
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Lost: []string{"vm"}}, now.Add(2*time.Second))
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -10,8 +10,8 @@
 // request returns the sync request of a daemon with this snapshot.
 func (s *Snapshot) request() cluster.SyncRequest {
 	versions := make(map[string]uint64, len(s.Domains))
-	for name, copied := range s.Domains {
-		versions[name] = copied.Version
+	for name, versioned := range s.Domains {
+		versions[name] = versioned.Version
 	}
 	return cluster.SyncRequest{Slot: s.Slot, HeadVersion: s.HeadVersion, Domains: versions}
 }
@@ -29,13 +29,13 @@
 		out.PlatformAge = ageMS(now, s.PlatformAsOf)
 	}
 	out.ContactAges = s.contactAges(now, cfg.AdmissionLease)
-	for name, copied := range s.Domains {
-		report := cluster.DomainReport{Name: name, Version: copied.Version, Abnormal: abnormalEvidence(copied.Domain, s.Evidence, now)}
-		if len(copied.Domain.Groups) > 0 {
-			report.Packed = packEvidence(copied.Domain, s.Evidence, now, cfg.EvidenceAge)
+	for name, versioned := range s.Domains {
+		report := cluster.DomainReport{Name: name, Version: versioned.Version, Abnormal: abnormalEvidence(versioned.Domain, s.Evidence, now)}
+		if len(versioned.Domain.Groups) > 0 {
+			report.Packed = packEvidence(versioned.Domain, s.Evidence, now, cfg.EvidenceAge)
 		}
-		if req.Domains[name] < copied.Version {
-			if data, err := json.Marshal(copied.Domain); err == nil {
+		if req.Domains[name] < versioned.Version {
+			if data, err := json.Marshal(versioned.Domain); err == nil {
 				report.Domain = data
 			}
 		}
@@ -53,9 +53,11 @@
 }
 
 // contactAges returns this daemon's contacts with the slots of the head in the form of
-// SyncReply.ContactAges.
-func (s *Snapshot) contactAges(now time.Time, term time.Duration) []byte {
-	unit := term / cluster.ContactAgeUnits
+// SyncReply.ContactAges. A peer whose applied revision is ahead of this head counts as not
+// contacted: the receiver records each relayed contact with the revision of the reply and
+// would not notice that the peer is ahead.
+func (s *Snapshot) contactAges(now time.Time, lease time.Duration) []byte {
+	unit := lease / cluster.ContactAgeUnits
 	slots := s.Head.Slots()
 	out := make([]byte, len(slots))
 	for i, slot := range slots {
