--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -13,11 +13,11 @@
 type Template struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
-	VMs      int      `json:"vms"`      // VMs that together run one replica
-	Replicas int      `json:"replicas"` // number of replicas to run
-	Places   []string `json:"places"`   // where replicas may run
-	WeightMB int      `json:"weight_mb"`
-	Priority int      `json:"priority"` // 0..9, higher is repaired first
+	VMs      int      `json:"vms"`       // VMs that together run one replica
+	Replicas int      `json:"replicas"`  // number of replicas to run
+	Places   []string `json:"places"`    // where replicas may run
+	WeightMB int      `json:"weight_mb"` // size of the model's weights
+	Priority int      `json:"priority"`  // 0..9, higher is repaired first
 	// Changed is the revision that last modified this entry.
 	Changed uint64 `json:"changed"`
 }
@@ -38,11 +38,11 @@
 // ModelUse configures one model of a workspace.
 type ModelUse struct {
 	Template string `json:"template"`
-	Adapter  string `json:"adapter,omitempty"`
+	Adapter  string `json:"adapter,omitempty"` // named to the engine with each request
 	// Version overrides the template's version. The model then uses the pool of that
 	// version, which workspaces with the same override share.
 	Version  string `json:"version,omitempty"`
-	Replicas int    `json:"replicas,omitempty"` // least size of that pool
+	Replicas int    `json:"replicas,omitempty"` // minimum number of replicas of that pool; 0: one
 }
 
 // Workspace is the configuration of one customer.
@@ -50,11 +50,11 @@
 	TokenSHA256   string              `json:"token_sha256"` // hex digest of the bearer token
 	Places        []string            `json:"places"`       // where its data may be processed
 	Class         Class               `json:"class"`
-	MaxConcurrent int                 `json:"max_concurrent"` // in-flight requests over all daemons
-	RatePerSecond float64             `json:"rate_per_second"`
-	Services      []string            `json:"services,omitempty"`
-	Models        map[string]ModelUse `json:"models"`
-	Changed       uint64              `json:"changed"`
+	MaxConcurrent int                 `json:"max_concurrent"`     // in-flight requests over all daemons
+	RatePerSecond float64             `json:"rate_per_second"`    // requests over all daemons; 0: no limit
+	Services      []string            `json:"services,omitempty"` // plain services that it may call
+	Models        map[string]ModelUse `json:"models"`             // by the model name that its requests use
+	Changed       uint64              `json:"changed"`            // revision that last modified this entry
 }
 
 // Instance is one address of a plain service.
@@ -68,7 +68,7 @@
 	Instances []Instance `json:"instances"`
 	// OnceMethods lists the HTTP methods whose calls must not be retried.
 	OnceMethods []string `json:"once_methods,omitempty"`
-	Changed     uint64   `json:"changed"`
+	Changed     uint64   `json:"changed"` // revision that last modified this entry
 }
 
 // Doc is the whole configuration at one revision, each map keyed by name.
@@ -83,8 +83,8 @@
 	return Doc{Templates: map[string]Template{}, Workspaces: map[string]Workspace{}, Services: map[string]Service{}}
 }
 
-// Clone returns a copy in which entries can be replaced. The entries themselves are
-// shared and must not be modified in place.
+// Clone returns a copy in which entries can be replaced. The slices and maps inside the
+// entries are shared and must not be modified in place.
 func (d Doc) Clone() Doc {
 	out := NewDoc()
 	maps.Copy(out.Templates, d.Templates)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -86,8 +86,8 @@
 	must.False(t, ok)
 }
 
-// The command "get" prints an entry in the form that "apply" reads, with the revision
-// that detects concurrent edits.
+// The command "get" prints an entry in the form that the command "apply" reads. The
+// printed revision lets "apply" detect that the entry was changed in the meantime.
 func TestRenderedEntryCanBeAppliedAgain(t *testing.T) {
 	e, _ := parse(t, validConfig)
 	doc, conflicts, changed := e.Merge(NewDoc(), 7)
@@ -96,12 +96,12 @@
 	for _, ref := range e.Refs() {
 		text, ok := doc.Render(ref)
 		must.True(t, ok)
-		again := NewEdit()
+		reparsed := NewEdit()
 		var list findings.List
-		again.Parse("again.ini", []byte(text), &list)
+		reparsed.Parse("again.ini", []byte(text), &list)
 		must.True(t, list.Empty(), must.Sprint(list.Items()))
-		must.Eq(t, uint64(7), again.Expect[ref])
-		_, conflicts, changed = again.Merge(doc, 8)
+		must.Eq(t, uint64(7), reparsed.Expect[ref])
+		_, conflicts, changed = reparsed.Merge(doc, 8)
 		must.SliceEmpty(t, conflicts)
 		must.False(t, changed, must.Sprint(ref, text))
 	}
--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -45,7 +45,7 @@
 	// Expect holds the revisions that the edit was based on, for the entries with a
 	// revision key.
 	Expect map[Ref]uint64
-	files  map[Ref]*findings.File
+	files  map[Ref]*findings.File // the file that each entry was read from
 }
 
 // NewEdit returns an empty edit.
@@ -75,7 +75,7 @@
 	if file == nil {
 		return
 	}
-	var models []string
+	var modelSections []string
 	for _, section := range file.INI.SectionStrings() {
 		words := strings.Fields(section)
 		switch {
@@ -90,18 +90,20 @@
 		case len(words) == 2 && words[0] == string(KindService):
 			e.parseService(file, section, words[1])
 		case len(words) == 4 && words[0] == string(KindWorkspace) && words[2] == "model":
-			models = append(models, section)
+			modelSections = append(modelSections, section)
 		default:
 			file.Add(section, "", "unknown section; want [template NAME], [workspace NAME], [workspace NAME model ALIAS] or [service NAME]")
 		}
 	}
-	for _, section := range models {
+	// Models are parsed last because each is stored in a workspace of the same file.
+	for _, section := range modelSections {
 		words := strings.Fields(section)
 		e.parseModel(file, section, words[1], words[3])
 	}
 }
 
-// startEntry checks an entry's name, records its file and reads its optional revision.
+// startEntry checks an entry's name, records the file and reads the optional revision
+// that the edit is based on.
 func (e *Edit) startEntry(file *findings.File, sec *findings.Section, ref Ref) {
 	if !namePattern.MatchString(ref.Name) {
 		sec.Fault("", "%q is not a name: lower-case letters, digits, dots, dashes, at most 63", ref.Name)
@@ -194,14 +196,14 @@
 // Check adds findings on references between the entries of doc and on tokens used by
 // two workspaces. A finding names the file and line if the entry is part of the edit.
 func (e *Edit) Check(doc Doc, list *findings.List) {
-	digests := map[string]string{}
+	workspaceByDigest := map[string]string{}
 	for _, name := range sortedKeys(doc.Workspaces) {
 		ws := doc.Workspaces[name]
 		e.checkWorkspace(doc, name, ws, list)
-		if other, taken := digests[ws.TokenSHA256]; taken {
+		if other, taken := workspaceByDigest[ws.TokenSHA256]; taken {
 			e.report(list, Ref{KindWorkspace, name}, "workspace "+name, "token_sha256", "same token as workspace "+other)
 		}
-		digests[ws.TokenSHA256] = name
+		workspaceByDigest[ws.TokenSHA256] = name
 	}
 }
 
--- a/internal/catalog/render.go
+++ b/internal/catalog/render.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Render returns one entry with its revision in the INI form that Parse reads; false if
-// there is no such entry.
+// Render returns one entry with its revision in the INI form that Parse reads, so that it
+// can be edited and applied again; false if there is no such entry.
 func (d Doc) Render(ref Ref) (string, bool) {
 	var b strings.Builder
-	key := func(name string, value any) { fmt.Fprintf(&b, "%s = %v\n", name, value) }
-	list := func(name string, values []string) {
+	writeKey := func(name string, value any) { fmt.Fprintf(&b, "%s = %v\n", name, value) }
+	writeList := func(name string, values []string) {
 		if len(values) > 0 {
-			key(name, strings.Join(values, ", "))
+			writeKey(name, strings.Join(values, ", "))
 		}
 	}
 	fmt.Fprintf(&b, "[%s %s]\n", ref.Kind, ref.Name)
@@ -22,26 +22,26 @@
 		if !ok {
 			return "", false
 		}
-		key("revision", t.Changed)
-		key("model", t.Model)
-		key("version", t.Version)
-		key("vms", t.VMs)
-		key("replicas", t.Replicas)
-		list("places", t.Places)
-		key("weight_gb", float64(t.WeightMB)/1000)
-		key("priority", t.Priority)
+		writeKey("revision", t.Changed)
+		writeKey("model", t.Model)
+		writeKey("version", t.Version)
+		writeKey("vms", t.VMs)
+		writeKey("replicas", t.Replicas)
+		writeList("places", t.Places)
+		writeKey("weight_gb", float64(t.WeightMB)/1000)
+		writeKey("priority", t.Priority)
 	case KindWorkspace:
 		w, ok := d.Workspaces[ref.Name]
 		if !ok {
 			return "", false
 		}
-		key("revision", w.Changed)
-		key("token_sha256", w.TokenSHA256)
-		list("places", w.Places)
-		key("class", w.Class)
-		key("max_concurrent", w.MaxConcurrent)
-		key("rate_per_second", w.RatePerSecond)
-		list("services", w.Services)
+		writeKey("revision", w.Changed)
+		writeKey("token_sha256", w.TokenSHA256)
+		writeList("places", w.Places)
+		writeKey("class", w.Class)
+		writeKey("max_concurrent", w.MaxConcurrent)
+		writeKey("rate_per_second", w.RatePerSecond)
+		writeList("services", w.Services)
 		for _, alias := range sortedKeys(w.Models) {
 			renderModel(&b, ref.Name, alias, w.Models[alias])
 		}
@@ -50,13 +50,13 @@
 		if !ok {
 			return "", false
 		}
-		key("revision", s.Changed)
+		writeKey("revision", s.Changed)
 		var instances []string
 		for _, i := range s.Instances {
 			instances = append(instances, i.Place+"@"+i.Address)
 		}
-		list("instances", instances)
-		list("at_most_once", s.OnceMethods)
+		writeList("instances", instances)
+		writeList("at_most_once", s.OnceMethods)
 	default:
 		return "", false
 	}
