--- a/internal/cluster/duty_test.go
+++ b/internal/cluster/rendezvous_test.go
@@ -10,24 +10,24 @@
 	_ "pearlanding/internal/fixedseed"
 )
 
-func TestDutiesMoveOnlyFromTheSlotThatLeft(t *testing.T) {
+func TestRemovingSlotMovesOnlyItsDuties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "slots")
 		var slots []string
 		for i := range n {
 			slots = append(slots, fmt.Sprintf("d%d", i))
 		}
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
-		before := NewDuties(slots)
-		after := NewDuties(append(append([]string(nil), slots[:gone]...), slots[gone+1:]...))
+		removed := rapid.IntRange(0, n-1).Draw(t, "gone")
+		before := NewRendezvousHash(slots)
+		after := NewRendezvousHash(append(append([]string(nil), slots[:removed]...), slots[removed+1:]...))
 		for i := range 50 {
 			duty := fmt.Sprintf("probe/%d", i)
 			owner := before.Owner(duty)
 			must.True(t, before.Owns(owner, duty, 1))
-			if owner != slots[gone] {
+			if owner != slots[removed] {
 				must.Eq(t, owner, after.Owner(duty))
 			}
-			must.False(t, after.Owns(slots[gone], duty, n))
+			must.False(t, after.Owns(slots[removed], duty, n))
 		}
 	})
 }
@@ -37,18 +37,18 @@
 	for i := range 9 {
 		slots = append(slots, fmt.Sprintf("entry-%d", i))
 	}
-	held := map[string]int{}
-	d := NewDuties(slots)
+	dutiesOf := map[string]int{}
+	hash := NewRendezvousHash(slots)
 	const duties = 9000
 	for i := range duties {
-		held[d.Owner(fmt.Sprintf("probe/rg-a.%d", i))]++
+		dutiesOf[hash.Owner(fmt.Sprintf("probe/rg-a.%d", i))]++
 	}
-	for slot, n := range held {
+	for slot, n := range dutiesOf {
 		must.Between(t, 800, n, 1200, must.Sprint(slot))
 	}
 }
 
-func TestNobodyOwnsAmongNone(t *testing.T) {
-	must.Eq(t, "", NewDuties(nil).Owner("x"))
-	must.False(t, NewDuties(nil).Owns("a", "x", 1))
+func TestNoSlotsNoOwner(t *testing.T) {
+	must.Eq(t, "", NewRendezvousHash(nil).Owner("x"))
+	must.False(t, NewRendezvousHash(nil).Owns("a", "x", 1))
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -13,11 +13,12 @@
 	"pearlanding/internal/revision"
 )
 
-// The benchmarks give the slopes of docs/CAPACITY.md: what one snapshot and one
-// exchange cost over the number of daemons and of groups.
+// The benchmarks measure how the cost of a snapshot and of a sync exchange grows with
+// the number of daemons and groups, for docs/CAPACITY.md.
 
-// fleet is the control state of one daemon in a fleet that is all well.
-func fleet(daemons, groups, vmsPerGroup int) (*state, time.Time) {
+// newFleetState returns the control state of one daemon in a fleet without faults, and
+// the time at which that state is current.
+func newFleetState(daemons, groups, vmsPerGroup int) (*state, time.Time) {
 	now := time.Now()
 	s := newState(Config{Slot: "d000", Incarnation: "i", SyncInterval: 250 * time.Millisecond, AdmissionLease: 2 * time.Second, EvidenceAge: 1500 * time.Millisecond}, now)
 	head := revision.NewHead()
@@ -30,7 +31,7 @@
 	head = head.WithAccepted()
 	s.observeHead(head, 10, now)
 	for i := 1; i < daemons; i++ {
-		s.hear(fmt.Sprintf("d%03d", i), revision.Hearing{Incarnation: "i", Revision: head.Revision, At: now})
+		s.recordContact(fmt.Sprintf("d%03d", i), revision.Hearing{Incarnation: "i", Revision: head.Revision, At: now})
 	}
 	s.platformRead(now)
 	const domains = 11
@@ -38,14 +39,14 @@
 		d := group.NewDomain(fmt.Sprintf("dom%d", i), "rio-grande")
 		for g := i; g < groups; g += domains {
 			d.LastEpoch++
-			member := group.Group{ID: fmt.Sprintf("%s.%d", d.Name, g), Pool: "p@1", Epoch: d.LastEpoch, State: group.StateServing, Weights: engine.Weights{Model: "m", Version: "1"}}
+			replica := group.Group{ID: fmt.Sprintf("%s.%d", d.Name, g), Pool: "p@1", Epoch: d.LastEpoch, State: group.StateServing, Weights: engine.Weights{Model: "m", Version: "1"}}
 			for v := range vmsPerGroup {
 				vm := fmt.Sprintf("vm-%d-%d", g, v)
 				d.VMs[vm] = group.VMRecord{Address: "10.0.0.1:9000", Accelerators: 2}
-				member.Members = append(member.Members, group.Member{VM: vm, Address: "10.0.0.1:9000", BootID: "01234567-89ab-cdef-0123-456789abcdef"})
+				replica.Members = append(replica.Members, group.Member{VM: vm, Address: "10.0.0.1:9000", BootID: "01234567-89ab-cdef-0123-456789abcdef"})
 			}
-			d.Groups[member.ID] = member
-			s.observeEvidence(group.Evidence{Group: member.ID, Epoch: member.Epoch, Ready: now, Running: 4, Slots: 8}, now)
+			d.Groups[replica.ID] = replica
+			s.observeEvidence(group.Evidence{Group: replica.ID, Epoch: replica.Epoch, Ready: now, Running: 4, Slots: 8}, now)
 		}
 		s.observeDomain(d.Name, group.Copy{Version: uint64(20 + i), Domain: d}, now)
 	}
@@ -60,11 +61,11 @@
 
 var fleetSizes = []fleetSize{{9, 15, 4}, {39, 26, 16}, {98, 64, 16}, {390, 256, 16}}
 
-// BenchmarkSnapshot: what each change of the control state costs.
+// BenchmarkSnapshot measures the snapshot that follows each change of the state.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, now := fleet(f.daemons, f.groups, f.vms)
+			s, now := newFleetState(f.daemons, f.groups, f.vms)
 			previous := s.snapshot(now, nil)
 			b.ReportAllocs()
 			for range b.N {
@@ -74,21 +75,21 @@
 	}
 }
 
-// BenchmarkSyncExchange: one exchange of two daemons that know the same, with the
-// bytes of request and reply as they go over the wire.
+// BenchmarkSyncExchange measures one exchange between two daemons with the same state,
+// and the bytes of its request and reply on the wire.
 func BenchmarkSyncExchange(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, now := fleet(f.daemons, f.groups, f.vms)
+			s, now := newFleetState(f.daemons, f.groups, f.vms)
 			snap := s.snapshot(now, nil)
 			var bytes int
 			for range b.N {
 				request, _ := json.Marshal(snap.request())
 				reply, _ := json.Marshal(snap.reply(snap.request(), now, s.cfg))
-				var back cluster.SyncReply
-				_ = json.Unmarshal(reply, &back)
-				back.Slot = "d001"
-				s.synced(back, now, now)
+				var received cluster.SyncReply
+				_ = json.Unmarshal(reply, &received)
+				received.Slot = "d001"
+				s.observeSyncReply(received, now, now)
 				bytes = len(request) + len(reply)
 			}
 			b.ReportMetric(float64(bytes), "bytes/exchange")
@@ -96,11 +97,11 @@
 	}
 }
 
-// BenchmarkOwns: one question whether a duty is ours.
+// BenchmarkOwns measures one check whether this daemon owns a duty.
 func BenchmarkOwns(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, now := fleet(f.daemons, f.groups, f.vms)
+			s, now := newFleetState(f.daemons, f.groups, f.vms)
 			snap := s.snapshot(now, nil)
 			for range b.N {
 				snap.Owns("probe/dom1.12", 2)
@@ -109,11 +110,11 @@
 	}
 }
 
-// BenchmarkDomainObject: size and cost of one fabric domain's object.
+// BenchmarkDomainObject measures the size and encoding cost of a domain object.
 func BenchmarkDomainObject(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, _ := fleet(f.daemons, f.groups, f.vms)
+			s, _ := newFleetState(f.daemons, f.groups, f.vms)
 			d := s.domains["dom1"].Domain
 			var size int
 			for range b.N {
@@ -128,11 +129,11 @@
 	}
 }
 
-// BenchmarkHead: size and cost of the configuration head over daemons.
+// BenchmarkHead measures the size and encoding cost of the configuration head.
 func BenchmarkHead(b *testing.B) {
 	for _, f := range fleetSizes {
 		b.Run(f.String(), func(b *testing.B) {
-			s, _ := fleet(f.daemons, f.groups, f.vms)
+			s, _ := newFleetState(f.daemons, f.groups, f.vms)
 			var size int
 			for range b.N {
 				value, err := s.head.Encode()
--- a/internal/control/sim_test.go
+++ b/internal/control/sim_test.go
@@ -11,11 +11,10 @@
 	"pearlanding/internal/revision"
 )
 
-// The simulation drives the real control state of a few daemons with random
-// event orders on a virtual clock: configuration changes, exchanges that take
-// time, partitions, platform outages, kills, restarts, pauses and removals. The
-// invariant is the promise: once any daemon knows a revision as accepted, no
-// process admits requests under an older one.
+// The simulation runs the real control state of a few daemons on a virtual clock with
+// random sequences of configuration changes, delayed exchanges, partitions, platform
+// outages, kills, restarts, pauses and removals. The invariant: once any daemon knows
+// that a revision is accepted, no process admits requests under an older one.
 
 const (
 	simLease = 2 * time.Second
@@ -31,63 +30,64 @@
 }
 
 type sim struct {
-	t          *rapid.T
-	now        time.Time
-	head       revision.Head
-	version    uint64
-	outage     bool
-	nodes      []*simNode
-	cutPeer    map[[2]int]bool
-	cutStore   map[int]bool
-	accepted   uint64
-	births     int
-	inFlight   []simReply
-	acceptedBy string
+	t                *rapid.T
+	now              time.Time
+	head             revision.Head
+	version          uint64
+	storeOutage      bool
+	nodes            []*simNode
+	peerPartitioned  map[[2]int]bool // by pair of nodes, lower index first
+	storeUnreachable map[int]bool    // by node
+	acceptedRevision uint64          // highest revision that any daemon knows as accepted
+	processCount     int             // processes started so far; numbers the incarnations
+	inFlight         []simReply
+	acceptedBy       string // slot of the first daemon that knew acceptedRevision as accepted
 }
 
-// simReply is an answer on its way.
+// simReply is a sync reply in flight. It is dropped if the requesting process has been
+// replaced when it arrives.
 type simReply struct {
-	to    int
-	owner *state // the process that asked
-	reply cluster.SyncReply
-	sent  time.Time
+	toNode    int
+	requester *state // the process that sent the request
+	reply     cluster.SyncReply
+	sent      time.Time
 }
 
 func newSim(t *rapid.T, n int) *sim {
-	s := &sim{t: t, now: time.Unix(1000, 0), head: revision.NewHead(), cutPeer: map[[2]int]bool{}, cutStore: map[int]bool{}}
+	s := &sim{t: t, now: time.Unix(1000, 0), head: revision.NewHead(), peerPartitioned: map[[2]int]bool{}, storeUnreachable: map[int]bool{}}
 	for i := range n {
 		s.nodes = append(s.nodes, &simNode{cfg: Config{Slot: fmt.Sprintf("d%d", i), SyncInterval: simSync, AdmissionLease: simLease, EvidenceAge: time.Second}})
 		if i == n-1 && n > 2 && rapid.Bool().Draw(t, "last one joins later") {
 			s.nodes[i].state = newState(s.nodes[i].cfg, s.now)
 			continue
 		}
-		s.boot(i)
+		s.startProcess(i)
 	}
 	return s
 }
 
-func (s *sim) boot(i int) {
+func (s *sim) startProcess(i int) {
 	n := s.nodes[i]
-	s.births++
-	n.cfg.Incarnation = fmt.Sprintf("inc%d", s.births)
+	s.processCount++
+	n.cfg.Incarnation = fmt.Sprintf("inc%d", s.processCount)
 	n.state, n.running, n.paused = newState(n.cfg, s.now), true, false
 	n.snap = nil
 	s.refresh(i)
-	s.join(i)
+	s.register(i)
 }
 
 func (s *sim) refresh(i int) {
 	n := s.nodes[i]
 	n.snap = n.state.snapshot(s.now, n.snap)
-	if n.snap.AcceptedUpTo > s.accepted {
-		s.accepted, s.acceptedBy = n.snap.AcceptedUpTo, n.cfg.Slot
+	if n.snap.AcceptedUpTo > s.acceptedRevision {
+		s.acceptedRevision, s.acceptedBy = n.snap.AcceptedUpTo, n.cfg.Slot
 	}
 }
 
-func (s *sim) canStore(i int) bool { return s.up(i) && !s.outage && !s.cutStore[i] }
-func (s *sim) up(i int) bool       { return s.nodes[i].running && !s.nodes[i].paused }
+func (s *sim) canReachStore(i int) bool { return s.isUp(i) && !s.storeOutage && !s.storeUnreachable[i] }
+func (s *sim) isUp(i int) bool          { return s.nodes[i].running && !s.nodes[i].paused }
 
-// write makes one conditional update from a linearizable read.
+// write makes one conditional update that is based on a linearizable read.
 func (s *sim) write(i int, next revision.Head) {
 	s.head = next
 	s.version++
@@ -101,72 +101,72 @@
 	s.refresh(i)
 }
 
-func (s *sim) join(i int) {
+func (s *sim) register(i int) {
 	n := s.nodes[i]
-	if s.canStore(i) && s.head.Members[n.cfg.Slot].Incarnation != n.cfg.Incarnation {
+	if s.canReachStore(i) && s.head.Members[n.cfg.Slot].Incarnation != n.cfg.Incarnation {
 		s.write(i, s.head.WithMember(n.cfg.Slot, revision.Member{Incarnation: n.cfg.Incarnation, Peer: n.cfg.Slot}))
 	}
 }
 
-func (s *sim) pick() int { return rapid.IntRange(0, len(s.nodes)-1).Draw(s.t, "node") }
+func (s *sim) pickNode() int { return rapid.IntRange(0, len(s.nodes)-1).Draw(s.t, "node") }
 
 func (s *sim) advance() {
 	ms := rapid.SampledFrom([]int{10, 100, 250, 600, 1100, 2600}).Draw(s.t, "ms")
 	s.now = s.now.Add(time.Duration(ms) * time.Millisecond)
 	for i := range s.nodes {
-		if s.up(i) {
+		if s.isUp(i) {
 			s.refresh(i)
 		}
 	}
 }
 
-func (s *sim) change() {
-	if i := s.pick(); s.canStore(i) {
+func (s *sim) changeDoc() {
+	if i := s.pickNode(); s.canReachStore(i) {
 		s.write(i, s.head.WithDoc(s.head.Doc, revision.Change{}))
 	}
 }
 
 func (s *sim) poll() {
-	if i := s.pick(); s.canStore(i) {
-		s.join(i)
+	if i := s.pickNode(); s.canReachStore(i) {
+		s.register(i)
 		s.read(i)
 	}
 }
 
-// ask sends a sync request; the answer is made now and delivered later or never.
-func (s *sim) ask() {
-	i, j := s.pick(), s.pick()
-	if i == j || !s.up(i) {
+// startSync sends a sync request. The reply is built now and delivered later or never.
+func (s *sim) startSync() {
+	i, j := s.pickNode(), s.pickNode()
+	if i == j || !s.isUp(i) {
 		return
 	}
-	asker := s.nodes[i].state
+	requester := s.nodes[i].state
 	switch peer := s.nodes[j]; {
 	case !peer.running:
-		asker.refused(peer.cfg.Slot, s.now)
+		requester.observeRefusal(peer.cfg.Slot, s.now)
 		s.refresh(i)
-	case peer.paused || s.cutPeer[[2]int{min(i, j), max(i, j)}]:
+	case peer.paused || s.peerPartitioned[[2]int{min(i, j), max(i, j)}]:
 	default:
 		s.refresh(j)
 		reply := peer.snap.reply(s.nodes[i].snap.request(), s.now, peer.cfg)
-		s.inFlight = append(s.inFlight, simReply{to: i, owner: asker, reply: reply, sent: s.now})
+		s.inFlight = append(s.inFlight, simReply{toNode: i, requester: requester, reply: reply, sent: s.now})
 		if rapid.Bool().Draw(s.t, "at once") {
 			s.deliver()
 		}
 	}
 }
 
-// syncAll lets every pair that can exchange do so at once.
+// syncAll makes every pair of connected daemons exchange their states without delay.
 func (s *sim) syncAll() {
 	for i := range s.nodes {
 		for j := range s.nodes {
-			if i == j || !s.up(i) || s.nodes[j].paused || s.cutPeer[[2]int{min(i, j), max(i, j)}] {
+			if i == j || !s.isUp(i) || s.nodes[j].paused || s.peerPartitioned[[2]int{min(i, j), max(i, j)}] {
 				continue
 			}
 			if !s.nodes[j].running {
-				s.nodes[i].state.refused(s.nodes[j].cfg.Slot, s.now)
+				s.nodes[i].state.observeRefusal(s.nodes[j].cfg.Slot, s.now)
 			} else {
 				s.refresh(j)
-				s.nodes[i].state.synced(s.nodes[j].snap.reply(s.nodes[i].snap.request(), s.now, s.nodes[j].cfg), s.now, s.now)
+				s.nodes[i].state.observeSyncReply(s.nodes[j].snap.reply(s.nodes[i].snap.request(), s.now, s.nodes[j].cfg), s.now, s.now)
 			}
 			s.refresh(i)
 		}
@@ -179,96 +179,96 @@
 	}
 	r := s.inFlight[0]
 	s.inFlight = s.inFlight[1:]
-	if n := s.nodes[r.to]; s.up(r.to) && n.state == r.owner {
-		n.state.synced(r.reply, r.sent, s.now)
-		s.refresh(r.to)
+	if n := s.nodes[r.toNode]; s.isUp(r.toNode) && n.state == r.requester {
+		n.state.observeSyncReply(r.reply, r.sent, s.now)
+		s.refresh(r.toNode)
 	}
 }
 
-func (s *sim) toggleCut() {
-	i, j := s.pick(), s.pick()
+func (s *sim) togglePeerPartition() {
+	i, j := s.pickNode(), s.pickNode()
 	key := [2]int{min(i, j), max(i, j)}
-	s.cutPeer[key] = !s.cutPeer[key]
+	s.peerPartitioned[key] = !s.peerPartitioned[key]
 }
 
-func (s *sim) toggleStore() {
-	i := s.pick()
-	s.cutStore[i] = !s.cutStore[i]
+func (s *sim) toggleStoreAccess() {
+	i := s.pickNode()
+	s.storeUnreachable[i] = !s.storeUnreachable[i]
 }
 
-func (s *sim) kill()    { s.nodes[s.pick()].running = false }
-func (s *sim) restart() { s.boot(s.pick()) }
+func (s *sim) kill()    { s.nodes[s.pickNode()].running = false }
+func (s *sim) restart() { s.startProcess(s.pickNode()) }
 
 func (s *sim) togglePause() {
-	i := s.pick()
+	i := s.pickNode()
 	s.nodes[i].paused = !s.nodes[i].paused
-	if s.up(i) {
+	if s.isUp(i) {
 		s.refresh(i)
 	}
 }
 
 func (s *sim) recordAccepted() {
-	i := s.pick()
-	if s.canStore(i) && s.nodes[i].snap.AcceptedUpTo >= s.head.Revision && s.head.Accepted < s.head.Revision {
+	i := s.pickNode()
+	if s.canReachStore(i) && s.nodes[i].snap.AcceptedUpTo >= s.head.Revision && s.head.Accepted < s.head.Revision {
 		s.write(i, s.head.WithAccepted())
 	}
 }
 
-// remove takes a silent slot out without any word that it has stopped.
-func (s *sim) remove() {
-	i, j := s.pick(), s.pick()
-	if _, member := s.head.Members[s.nodes[j].cfg.Slot]; i != j && member && s.canStore(i) {
+// removeMember removes a slot without confirmation that its process has stopped.
+func (s *sim) removeMember() {
+	i, j := s.pickNode(), s.pickNode()
+	if _, member := s.head.Members[s.nodes[j].cfg.Slot]; i != j && member && s.canReachStore(i) {
 		s.write(i, s.head.WithoutMember(s.nodes[j].cfg.Slot, false))
 	}
 }
 
-// check is the invariant: what is accepted is in force wherever requests are
-// admitted. A paused process counts, since it may wake at any moment.
-func (s *sim) check(t *rapid.T) {
+// checkAdmission checks that an accepted revision is in force wherever requests are
+// admitted. Paused processes count because they may resume at any time.
+func (s *sim) checkAdmission(t *rapid.T) {
 	for _, n := range s.nodes {
-		if n.running && n.snap.MayAdmit(s.now) && n.snap.Head.Revision < s.accepted {
+		if n.running && n.snap.MayAdmit(s.now) && n.snap.Head.Revision < s.acceptedRevision {
 			t.Fatalf("%s (paused %t) admits under revision %d; %d was accepted by %s",
-				n.cfg.Slot, n.paused, n.snap.Head.Revision, s.accepted, s.acceptedBy)
+				n.cfg.Slot, n.paused, n.snap.Head.Revision, s.acceptedRevision, s.acceptedBy)
 		}
 	}
 }
 
-// TestAcceptedIsInForceEverywhere is promise 8: an accepted configuration is in
-// force everywhere and never reverts.
+// TestAcceptedIsInForceEverywhere guards against an accepted configuration that is not
+// in force at every daemon or that reverts.
 func TestAcceptedIsInForceEverywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.IntRange(2, 5).Draw(t, "daemons"))
-		act := func(f func()) func(*rapid.T) {
+		action := func(f func()) func(*rapid.T) {
 			return func(t *rapid.T) { s.t = t; f() }
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"":               s.check,
-			"advance":        act(s.advance),
-			"advance again":  act(s.advance),
-			"change":         act(s.change),
-			"poll":           act(s.poll),
-			"ask":            act(s.ask),
-			"sync all":       act(s.syncAll),
-			"deliver":        act(s.deliver),
-			"cut peers":      act(s.toggleCut),
-			"cut store":      act(s.toggleStore),
-			"outage":         act(func() { s.outage = !s.outage }),
-			"kill":           act(s.kill),
-			"restart":        act(s.restart),
-			"pause":          act(s.togglePause),
-			"accept":         act(s.recordAccepted),
-			"remove":         act(s.remove),
-			"revision grows": act(s.neverBack),
+			"":               s.checkAdmission,
+			"advance":        action(s.advance),
+			"advance again":  action(s.advance),
+			"change":         action(s.changeDoc),
+			"poll":           action(s.poll),
+			"ask":            action(s.startSync),
+			"sync all":       action(s.syncAll),
+			"deliver":        action(s.deliver),
+			"cut peers":      action(s.togglePeerPartition),
+			"cut store":      action(s.toggleStoreAccess),
+			"outage":         action(func() { s.storeOutage = !s.storeOutage }),
+			"kill":           action(s.kill),
+			"restart":        action(s.restart),
+			"pause":          action(s.togglePause),
+			"accept":         action(s.recordAccepted),
+			"remove":         action(s.removeMember),
+			"revision grows": action(s.replayOldHead),
 		})
 	})
 }
 
-// neverBack hands a node an old head, as a lagging read would, and checks that
-// nothing is undone.
-func (s *sim) neverBack() {
-	i := s.pick()
+// replayOldHead applies an old head to a node, as a stale read would, and checks that
+// its revision does not go back.
+func (s *sim) replayOldHead() {
+	i := s.pickNode()
 	n := s.nodes[i]
-	if !s.up(i) {
+	if !s.isUp(i) {
 		return
 	}
 	before := n.state.head.Revision
