--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -364,11 +364,11 @@
 	x.sends = append(x.sends, sendLog{target: t, startedAfter: now.Sub(x.arrivedAt)})
 	call := &upstream.Call{
 		Address: t.Address, Method: x.req.Method, Target: x.req.Target, Host: x.req.Host, Body: x.req.Body,
-		Fresh: !x.route.Repeatable(),
+		NewConnection: !x.route.Repeatable(),
 		Header: x.gateway.Codec.Header(x.req, Send{Instance: t.Instance, Remaining: x.deadline.Sub(now),
 			Workspace: x.workspace, LastEvent: lastEvent, Urgency: x.urgency(now)}),
 		Withhold: x.withholdFunc(t),
-		Own:      func(status int, h http.Header) bool { return x.gateway.Codec.AnswersTo(x.req.ID, status, h) },
+		IsOwnResponse:      func(status int, h http.Header) bool { return x.gateway.Codec.AnswersTo(x.req.ID, status, h) },
 	}
 	x.watchedSend = x.gateway.Watch.Begin(quarantine.Life{Instance: t.Instance, Born: t.Born}, t.Address, x.workspace, x.digest, onQuarantine)
 	resp, err := x.gateway.Pool.Do(ctx, call)
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// How the time that a connection may take follows those that came up.
+// Parameters of the adaptive connect timeout.
 const (
-	// connectTimes is how many times the usual time a connection may take.
-	connectTimes = 4
-	// connectLeast is what it may take at least: a process on a small share of a core may
-	// stand still for nearly the 100 ms in which the kernel hands its share out.
-	connectLeast = 80 * time.Millisecond
-	// connectSamples is how many must have come up before they tell anything.
-	connectSamples = 8
-	// connectRise is by which part of itself the usual time rises with a slower one, and
-	// connectFall the part of the distance by which it falls with a quicker one.
-	connectRise = 0.2
-	connectFall = 0.01
+	// connectTimeoutFactor is the timeout in multiples of the typical connect time.
+	connectTimeoutFactor = 4
+	// minConnectTimeout is the lower limit of the timeout. A process with a small CPU quota may
+	// not be scheduled for most of the kernel's quota period of 100 ms.
+	minConnectTimeout = 80 * time.Millisecond
+	// minConnectSamples is the number of connect times needed before the timeout adapts.
+	minConnectSamples = 8
+	// typicalRise is the fraction by which a slower connection raises the typical time at most.
+	// typicalFall is the fraction of the difference by which a faster connection lowers it.
+	typicalRise = 0.2
+	typicalFall = 0.01
 )
 
-// connectTimer learns how long connections take to come up. A host that is gone answers
-// nothing: with a fixed 400 ms, all streams sent to one were late, as they are due in 200 to
-// 400 ms. Safe for concurrent use.
-type connectTimer struct {
-	mu    sync.Mutex
-	seen  int
-	usual time.Duration // that few connections exceed
+// connectTimeout derives the connect timeout from recent connect times. An unreachable host
+// doesn't respond at all: with a fixed timeout of 400 ms all streams sent to one were late,
+// because their first event is due within 200 to 400 ms. Safe for concurrent use.
+type connectTimeout struct {
+	mu      sync.Mutex
+	samples int
+	typical time.Duration // exceeded by few connections
 }
 
-// note takes in how long a connection took.
-func (c *connectTimer) note(took time.Duration) {
+// observe records how long a connection took to establish.
+func (c *connectTimeout) observe(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen++
+	c.samples++
 	switch {
-	case c.seen == 1:
-		c.usual = took
-	case took > c.usual:
-		c.usual = min(took, time.Duration((1+connectRise)*float64(c.usual)))
+	case c.samples == 1:
+		c.typical = took
+	case took > c.typical:
+		c.typical = min(took, time.Duration((1+typicalRise)*float64(c.typical)))
 	default:
-		c.usual -= time.Duration(connectFall * float64(c.usual-took))
+		c.typical -= time.Duration(typicalFall * float64(c.typical-took))
 	}
 }
 
-// limit is how long a connection may take now; most bounds it.
-func (c *connectTimer) limit(most time.Duration) time.Duration {
+// timeout returns the current connect timeout, at most maximum.
+func (c *connectTimeout) timeout(maximum time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.seen < connectSamples {
-		return most
+	if c.samples < minConnectSamples {
+		return maximum
 	}
-	return min(max(connectTimes*c.usual, connectLeast), most)
+	return min(max(connectTimeoutFactor*c.typical, minConnectTimeout), maximum)
 }
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -12,67 +12,67 @@
 	"pearlanding/internal/steady"
 )
 
-// Load: a host goes dark and answers no connection, while those to others come up in
-// milliseconds. A request must learn soon that it was not sent, and slower links must be
-// given their time: ones that take 60 ms are no sign of a dark host.
-func TestConnectionsToADarkHostAreGivenUpSoon(t *testing.T) {
-	const most = 400 * time.Millisecond
-	var c connectTimer
-	must.Eq(t, most, c.limit(most), must.Sprint("nothing known"))
+// Requests to an unreachable host must fail soon, since connections to other hosts take
+// milliseconds. Slower links must still get enough time: a connect time of 60 ms is no sign of
+// an unreachable host.
+func TestConnectTimeoutFollowsTypicalConnectTime(t *testing.T) {
+	const maximum = 400 * time.Millisecond
+	var connectTimes connectTimeout
+	must.Eq(t, maximum, connectTimes.timeout(maximum), must.Sprint("no samples"))
 	for range 50 {
-		c.note(3 * time.Millisecond)
+		connectTimes.observe(3 * time.Millisecond)
 	}
-	must.Eq(t, connectLeast, c.limit(most))
+	must.Eq(t, minConnectTimeout, connectTimes.timeout(maximum))
 	for range 50 {
-		c.note(60 * time.Millisecond)
+		connectTimes.observe(60 * time.Millisecond)
 	}
-	must.Eq(t, 4*60*time.Millisecond, c.limit(most))
+	must.Eq(t, 4*60*time.Millisecond, connectTimes.timeout(maximum))
 	for range 50 {
-		c.note(time.Second)
+		connectTimes.observe(time.Second)
 	}
-	must.Eq(t, most, c.limit(most))
+	must.Eq(t, maximum, connectTimes.timeout(maximum))
 }
 
-// Guards against streams that were cut though their replicas worked: a daemon on a busy machine
-// took the time without a processor for the silence of the replica that a stream was to go on at,
-// gave the connection up, and had no repeat left for another one.
-func TestConnectionIsNotGivenUpWhileTheProcessIsNotScheduled(t *testing.T) {
-	const usual, comesUp = 3 * time.Millisecond, 2 * connectLeast
+// Guards against streams that break although their replicas work: a daemon on a busy machine
+// counted the time in which it was not scheduled towards the connect timeout of the replica that
+// a stream should continue at, and then had no retry left for another replica.
+func TestConnectionDoesNotTimeOutWhileTheProcessIsNotScheduled(t *testing.T) {
+	const typical, connectTime = 3 * time.Millisecond, 2 * minConnectTimeout
 	for _, scheduled := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			p := NewPool(time.Second, time.Second)
-			for range connectSamples {
-				p.timer.note(usual)
+			for range minConnectSamples {
+				p.connectTimes.observe(typical)
 			}
-			far, near := net.Pipe()
-			defer far.Close()
+			remote, local := net.Pipe()
+			defer remote.Close()
 			p.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) {
 				select {
-				case <-time.After(comesUp):
-					return near, nil
+				case <-time.After(connectTime):
+					return local, nil
 				case <-ctx.Done():
 					return nil, ctx.Err()
 				}
 			}
 			p.RunClock = steady.NewRunClock(nil)
-			looks, stop := context.WithCancel(t.Context())
-			go p.RunClock.Run(looks)
+			ctx, stop := context.WithCancel(t.Context())
+			go p.RunClock.Run(ctx)
 			time.Sleep(time.Millisecond)
 			if !scheduled {
-				stop() // the clock stands, as if the process were not scheduled from now on
+				stop() // stops RunClock, as if the process were not scheduled from now on
 			}
-			began := time.Now()
+			start := time.Now()
 			err := p.Probe(t.Context(), "10.0.0.1:80")
 			if scheduled {
 				must.ErrorIs(t, err, ErrNotSent)
 				must.ErrorIs(t, err, errConnectTimeout)
-				must.Less(t, comesUp, time.Since(began))
+				must.Less(t, connectTime, time.Since(start))
 			} else {
 				must.NoError(t, err)
-				must.Eq(t, comesUp, time.Since(began))
+				must.Eq(t, connectTime, time.Since(start))
 			}
 			stop()
-			near.Close()
+			local.Close()
 			time.Sleep(time.Second)
 		})
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -19,154 +19,159 @@
 	"pearlanding/internal/steady"
 )
 
-// Pool sends requests over kept HTTP/1.1 connections of its own. Unlike the
-// standard client it never sends anything twice, tells exactly whether a byte of
-// the request may have left, and passes over surplus answers that an upstream
-// left on a connection. Safe for concurrent use.
+// Pool sends requests over its own pool of HTTP/1.1 connections. Unlike the standard client it
+// never sends a request twice, reports whether any byte of the request may have been sent, and
+// skips responses to other requests that an upstream left on a connection. Safe for concurrent
+// use.
 type Pool struct {
-	// Connect bounds how long a connection may take to come up; those that came up bound
-	// it further.
-	Connect time.Duration
-	// MaxIdle is how long an idle connection is kept when the upstream names no
-	// time of its own.
-	MaxIdle time.Duration
-	// MaxOpen bounds the connections to one address; 0: no bound. Set before use.
-	MaxOpen int
-	// Clock tells the time; nil: this machine's.
+	// MaxConnectTime is the upper limit of the connect timeout, which adapts to the connect times
+	// of earlier connections.
+	MaxConnectTime time.Duration
+	// MaxIdleTime is how long an idle connection is kept. A shorter Keep-Alive timeout of the
+	// upstream takes precedence.
+	MaxIdleTime time.Duration
+	// MaxOpenPerAddress limits the open connections to one address; 0 means no limit. Must be
+	// set before use.
+	MaxOpenPerAddress int
+	// Clock is the time source; nil means the system clock.
 	Clock *steady.Clock
-	// RunClock tells how long a connection takes; nil: as Clock.
+	// RunClock measures connect times and stops while this process is not scheduled; nil means
+	// Clock.
 	RunClock *steady.RunClock
-	// dialer connects; replaced by tests.
-	dialer func(ctx context.Context, network, address string) (net.Conn, error)
-	mu     sync.Mutex
-	idle   map[string][]*kept
-	open   map[string]int
-	opened uint64 // connections ever opened
-	timer  connectTimer
+	// dialer opens a connection; replaced in tests.
+	dialer       func(ctx context.Context, network, address string) (net.Conn, error)
+	mu           sync.Mutex
+	idleConns    map[string][]*pooledConn
+	openCount    map[string]int
+	openedTotal  uint64 // connections opened so far, including failed attempts
+	connectTimes connectTimeout
 }
 
-// kept is one connection and what may still arrive on it.
-type kept struct {
+// pooledConn is a connection of the pool with its read buffer.
+type pooledConn struct {
 	net.Conn
-	address  string
-	reader   *bufio.Reader
-	deadline time.Time // not used for a new request from then on
+	address    string
+	reader     *bufio.Reader
+	reuseUntil time.Time // no new request is sent from then on
 }
 
-// Call is one request to one upstream.
+// Call is one request to an upstream.
 type Call struct {
 	Address string
 	Method  string
-	Target  string // as it stands in the request line
+	Target  string // verbatim for the request line
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Fresh asks for a new connection: no idle one can turn out closed. It is also
-	// given a moment in which an upstream that has too many can reset it, before the
-	// request goes out and could have run.
-	Fresh bool
-	// Own tells whether an answer with this head is to this request; others are
-	// passed over. nil takes any.
-	Own func(status int, h http.Header) bool
-	// Withhold, if set, is asked just before the request is written; true: it must not be.
+	// NewConnection requests a new connection, because an idle one may turn out to be closed
+	// after the request was written. The new connection is watched for a moment before the
+	// request is written, so that an upstream with too many connections can reset it first.
+	NewConnection bool
+	// IsOwnResponse reports whether a response belongs to this request; others are skipped. nil
+	// accepts any response.
+	IsOwnResponse func(status int, h http.Header) bool
+	// Withhold is called just before the request is written. If it returns true, the request is
+	// not written and the error is ErrWithheld. nil means never.
 	Withhold func() bool
 }
 
-// maxSurplus is how many foreign answers are passed over before the connection
-// is given up.
-const maxSurplus = 2
+// maxForeignResponses is how many responses to other requests are skipped before the connection
+// is closed.
+const maxForeignResponses = 2
 
-// maxSurplusBytes bounds the body of a foreign answer that is read away.
-const maxSurplusBytes = 1 << 20
+// maxForeignBodyBytes limits the body of a skipped response.
+const maxForeignBodyBytes = 1 << 20
 
-// idleMargin is taken off the time for which an upstream keeps a connection:
-// the request must arrive before the upstream closes it.
-const idleMargin = 500 * time.Millisecond
+// idleTimeoutMargin is subtracted from the upstream's idle timeout: a request must arrive
+// before the upstream closes the connection.
+const idleTimeoutMargin = 500 * time.Millisecond
 
-// ErrBusy: the bound on connections is reached; nothing was sent.
-const ErrBusy = errors.ConstError("upstream: all connections in use")
+// ErrBusy means that the limit on open connections is reached; no byte was sent.
+const ErrBusy = errors.ConstError("upstream: too many open connections")
 
-// ErrWithheld: Call.Withhold kept the request back; it is ErrNotSent too.
-const ErrWithheld = errors.ConstError("upstream: withheld")
+// ErrWithheld means that Call.Withhold returned true; such an error is ErrNotSent, too.
+const ErrWithheld = errors.ConstError("upstream: request withheld")
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool with the given MaxConnectTime and MaxIdleTime.
 func NewPool(connect, maxIdle time.Duration) *Pool {
-	return &Pool{Connect: connect, MaxIdle: maxIdle, dialer: link.Dialer(0).DialContext, idle: map[string][]*kept{}, open: map[string]int{}}
+	return &Pool{MaxConnectTime: connect, MaxIdleTime: maxIdle, dialer: link.Dialer(0).DialContext, idleConns: map[string][]*pooledConn{}, openCount: map[string]int{}}
 }
 
-// Opened returns how many connections were ever opened.
+// Opened returns how many connections have been opened so far, including failed attempts.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.openedTotal
 }
 
-// Do sends the request once and returns the head of its answer. The error is
-// ErrNotSent, ErrWithheld or ErrBusy when not a byte left, otherwise ErrUnknown. ctx bounds
-// the whole exchange, the body's reading included: when it ends, the connection
-// is closed. The caller closes the body.
+// Do sends the request once and returns its response after reading the header. The error is
+// ErrNotSent, ErrWithheld or ErrBusy if no byte was sent, ErrCrossed if only responses to other
+// requests were received, and otherwise ErrUnknown. When ctx ends, the connection is closed,
+// also while the body is read. The caller must close the body.
 func (p *Pool) Do(ctx context.Context, call *Call) (*http.Response, error) {
-	c, err := p.take(ctx, call)
+	c, err := p.acquire(ctx, call)
 	if err != nil {
 		return nil, err
 	}
 	if call.Withhold != nil && call.Withhold() {
-		p.put(c, p.MaxIdle)
-		return nil, errors.WithType(errors.WithType(errors.Errorf("request to %s", call.Address), ErrWithheld), ErrNotSent)
+		p.keepIdle(c, p.MaxIdleTime)
+		return nil, errors.WithType(errors.WithType(errors.Errorf("request to %s withheld", call.Address), ErrWithheld), ErrNotSent)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 	resp, err := c.exchange(call)
 	if err != nil {
 		stop()
-		p.drop(c)
+		p.discard(c)
 		return nil, err
 	}
-	resp.Body = &body{ReadCloser: resp.Body, pool: p, conn: c, stop: stop, header: resp.Header, keep: reusable(resp)}
+	resp.Body = &pooledBody{ReadCloser: resp.Body, pool: p, conn: c, stopCancel: stop, header: resp.Header, reusable: reusable(resp)}
 	return resp, nil
 }
 
-// take returns an idle connection that seems alive, or opens one.
-func (p *Pool) take(ctx context.Context, call *Call) (*kept, error) {
-	for !call.Fresh {
-		c := p.pop(call.Address)
+// acquire returns an idle connection that is still open, or opens one.
+func (p *Pool) acquire(ctx context.Context, call *Call) (*pooledConn, error) {
+	for !call.NewConnection {
+		c := p.popIdle(call.Address)
 		if c == nil {
 			break
 		}
-		if p.Clock.Now().Before(c.deadline) && alive(c.Conn) {
+		if p.Clock.Now().Before(c.reuseUntil) && openAndQuiet(c.Conn) {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
-	if !p.reserve(call.Address) {
-		return nil, errors.WithType(errors.Errorf("connections to %s", call.Address), ErrBusy)
+	if !p.reserveSlot(call.Address) {
+		return nil, errors.WithType(errors.Errorf("too many open connections to %s", call.Address), ErrBusy)
 	}
 	conn, err := p.dial(ctx, call.Address)
 	if err != nil {
 		return nil, err
 	}
-	c := &kept{Conn: conn, address: call.Address, reader: bufio.NewReaderSize(conn, readBuffer)}
-	if call.Fresh && !settled(ctx, conn) {
-		p.drop(c)
-		return nil, errors.WithType(errors.Errorf("%s closed a new connection", call.Address), ErrNotSent)
+	c := &pooledConn{Conn: conn, address: call.Address, reader: bufio.NewReaderSize(conn, readBufferBytes)}
+	if call.NewConnection && !staysOpen(ctx, conn) {
+		p.discard(c)
+		return nil, errors.WithType(errors.Errorf("new connection closed by %s", call.Address), ErrNotSent)
 	}
 	return c, nil
 }
 
-// Probe opens a connection to an address and keeps it for the next request. Its error is
-// ErrNotSent, and the dialer's own: syscall.ECONNREFUSED where nothing listens.
+// Probe opens a connection to an address and keeps it for the next request. The error is
+// ErrBusy, or ErrNotSent together with the dialer's error, such as syscall.ECONNREFUSED if
+// nothing listens there.
 func (p *Pool) Probe(ctx context.Context, address string) error {
-	if !p.reserve(address) {
-		return errors.WithType(errors.Errorf("connections to %s", address), ErrBusy)
+	if !p.reserveSlot(address) {
+		return errors.WithType(errors.Errorf("too many open connections to %s", address), ErrBusy)
 	}
 	conn, err := p.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	p.put(&kept{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBuffer)}, p.MaxIdle)
+	p.keepIdle(&pooledConn{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBufferBytes)}, p.MaxIdleTime)
 	return nil
 }
 
-// dial opens a connection that was reserved, or releases it.
+// dial opens a connection in a reserved slot. If that fails, it releases the slot and returns
+// ErrNotSent.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	clock := p.RunClock
 	if clock == nil {
@@ -174,129 +179,135 @@
 	}
 	attempt, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	begun := clock.Now()
-	// A process that is not scheduled does not see that the connection came up.
-	stop := clock.AfterFunc(p.timer.limit(p.Connect), func() { cancel(errConnectTimeout) })
+	start := clock.Now()
+	// Measured by RunClock: a process that is not scheduled can't see the connection established.
+	stop := clock.AfterFunc(p.connectTimes.timeout(p.MaxConnectTime), func() { cancel(errConnectTimeout) })
 	defer stop()
 	conn, err := p.dialer(attempt, "tcp", address)
 	if err != nil {
-		p.release(address)
+		p.releaseSlot(address)
 		if cause := context.Cause(attempt); errors.Is(cause, errConnectTimeout) {
 			err = errors.Annotatef(cause, "dial tcp %s", address)
 		}
 		return nil, errors.WithType(err, ErrNotSent)
 	}
-	p.timer.note(clock.Now().Sub(begun))
+	p.connectTimes.observe(clock.Now().Sub(start))
 	return conn, nil
 }
 
-// errConnectTimeout: a connection did not come up in time.
+// errConnectTimeout means that a connection was not established in time.
 const errConnectTimeout = errors.ConstError("upstream: connection timed out")
 
-// settleFor is how long a new connection is watched before a request that must not
-// be repeated goes out: some round trips within a region.
-const settleFor = 4 * time.Millisecond
+// newConnWatchTime is how long a new connection is watched before a request that must not be
+// retried is written: several round trips within a region.
+const newConnWatchTime = 4 * time.Millisecond
 
-// settled tells whether a new connection stays open for a moment.
-func settled(ctx context.Context, conn net.Conn) bool {
-	timer := time.NewTimer(settleFor)
+// staysOpen reports whether a new connection is still open after newConnWatchTime.
+func staysOpen(ctx context.Context, conn net.Conn) bool {
+	timer := time.NewTimer(newConnWatchTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return alive(conn)
+	return openAndQuiet(conn)
 }
 
-// readBuffer holds a few events of a stream, or the head of an answer.
-const readBuffer = 4 << 10
+// readBufferBytes fits several events of a stream, or the header of a response.
+const readBufferBytes = 4 << 10
 
-func (p *Pool) pop(address string) *kept {
+// popIdle returns the most recently used idle connection to an address, or nil if there is none.
+func (p *Pool) popIdle(address string) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[address]
+	list := p.idleConns[address]
 	if len(list) == 0 {
 		return nil
 	}
 	c := list[len(list)-1]
-	p.idle[address] = list[:len(list)-1]
+	p.idleConns[address] = list[:len(list)-1]
 	return c
 }
 
-func (p *Pool) reserve(address string) bool {
+// reserveSlot counts a connection to an address as open, before it is dialed. It returns false
+// if MaxOpenPerAddress is reached.
+func (p *Pool) reserveSlot(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.MaxOpen > 0 && p.open[address] >= p.MaxOpen {
+	if p.MaxOpenPerAddress > 0 && p.openCount[address] >= p.MaxOpenPerAddress {
 		return false
 	}
-	p.open[address]++
-	p.opened++
+	p.openCount[address]++
+	p.openedTotal++
 	return true
 }
 
-func (p *Pool) release(address string) {
+// releaseSlot undoes reserveSlot.
+func (p *Pool) releaseSlot(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[address]--; p.open[address] <= 0 {
-		delete(p.open, address)
+	if p.openCount[address]--; p.openCount[address] <= 0 {
+		delete(p.openCount, address)
 	}
 }
 
-func (p *Pool) drop(c *kept) {
+// discard closes a connection and releases its slot.
+func (p *Pool) discard(c *pooledConn) {
 	_ = c.Close()
-	p.release(c.address)
+	p.releaseSlot(c.address)
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(c *kept, keepFor time.Duration) {
+// keepIdle keeps a connection for the next request. It discards the connection if there are
+// unread bytes, if keepFor is not positive, or if enough others are idle.
+func (p *Pool) keepIdle(c *pooledConn, keepFor time.Duration) {
 	if c.reader.Buffered() > 0 || keepFor <= 0 {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.deadline = p.Clock.Now().Add(keepFor)
+	c.reuseUntil = p.Clock.Now().Add(keepFor)
 	p.mu.Lock()
-	full := len(p.idle[c.address]) >= idlePerAddress
+	full := len(p.idleConns[c.address]) >= maxIdlePerAddress
 	if !full {
-		p.idle[c.address] = append(p.idle[c.address], c)
+		p.idleConns[c.address] = append(p.idleConns[c.address], c)
 	}
 	p.mu.Unlock()
 	if full {
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-// idlePerAddress is how many idle connections are kept to one upstream, which
-// accepts only so many from all callers together.
-const idlePerAddress = 3
+// maxIdlePerAddress limits the idle connections to one upstream, which accepts only a limited
+// number from all callers together.
+const maxIdlePerAddress = 3
 
-// Sweep closes idle connections that are past their time.
+// Sweep closes idle connections whose idle timeout has passed.
 func (p *Pool) Sweep(now time.Time) {
-	var old []*kept
+	var expired []*pooledConn
 	p.mu.Lock()
-	for address, list := range p.idle {
+	for address, list := range p.idleConns {
 		live := list[:0]
 		for _, c := range list {
-			if now.After(c.deadline) {
-				old = append(old, c)
+			if now.After(c.reuseUntil) {
+				expired = append(expired, c)
 			} else {
 				live = append(live, c)
 			}
 		}
 		if len(live) == 0 {
-			delete(p.idle, address)
+			delete(p.idleConns, address)
 		} else {
-			p.idle[address] = live
+			p.idleConns[address] = live
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
-		p.drop(c)
+	for _, c := range expired {
+		p.discard(c)
 	}
 }
 
-// alive tells whether an idle connection is still open and has nothing to read:
-// a closed one or one with a surplus answer must not carry the next request.
-func alive(conn net.Conn) bool {
+// openAndQuiet reports whether an idle connection is still open and has no data to read. A
+// closed connection, or one with an unexpected response, must not be used for the next request.
+func openAndQuiet(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return true
@@ -305,21 +316,21 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		var buf [1]byte
+		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		noData = err == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// exchange writes the request and reads the head of its answer.
-func (c *kept) exchange(call *Call) (*http.Response, error) {
-	if _, err := c.Write(encode(call)); err != nil {
+// exchange writes the request and reads the header of its response.
+func (c *pooledConn) exchange(call *Call) (*http.Response, error) {
+	if _, err := c.Write(encodeRequest(call)); err != nil {
 		return nil, errors.WithType(err, ErrUnknown)
 	}
-	for surplus := 0; ; surplus++ {
+	for foreign := 0; ; foreign++ {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: call.Method})
 		if err != nil {
 			return nil, errors.WithType(err, ErrUnknown)
@@ -327,18 +338,18 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		if call.Own == nil || call.Own(resp.StatusCode, resp.Header) {
+		if call.IsOwnResponse == nil || call.IsOwnResponse(resp.StatusCode, resp.Header) {
 			return resp, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplusBytes))
-		if surplus >= maxSurplus || err != nil || n == maxSurplusBytes || !reusable(resp) {
-			return nil, errors.WithType(errors.New("answer to another request"), ErrCrossed)
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBodyBytes))
+		if foreign >= maxForeignResponses || err != nil || n == maxForeignBodyBytes || !reusable(resp) {
+			return nil, errors.WithType(errors.New("response to another request"), ErrCrossed)
 		}
 	}
 }
 
-// encode renders the request for one write.
-func encode(call *Call) []byte {
+// encodeRequest returns the bytes of the request, to be written at once.
+func encodeRequest(call *Call) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(call.Body))
 	b.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
@@ -358,41 +369,45 @@
 	return b.Bytes()
 }
 
-// framed tells whether the answer's end can be told from its connection's.
-func framed(resp *http.Response) bool {
+// hasFraming reports whether the response's end is marked by a length or chunks, and not only
+// by the end of the connection.
+func hasFraming(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-func reusable(resp *http.Response) bool { return !resp.Close && framed(resp) }
+// reusable reports whether the connection can carry another request after this response.
+func reusable(resp *http.Response) bool { return !resp.Close && hasFraming(resp) }
 
-// keepFor reads how long the upstream keeps the connection idle.
-func (p *Pool) keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long an idle connection may be kept, from the Keep-Alive header of the
+// upstream's last response and MaxIdleTime.
+func (p *Pool) idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if s, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			return min(time.Duration(s)*time.Second-idleMargin, p.MaxIdle)
+			return min(time.Duration(s)*time.Second-idleTimeoutMargin, p.MaxIdleTime)
 		}
 	}
-	return p.MaxIdle
+	return p.MaxIdleTime
 }
 
-// body gives the connection back when the answer was read to its end.
-type body struct {
+// pooledBody is a response body that returns its connection to the pool when it is closed after
+// it was read to its end, and otherwise discards the connection.
+type pooledBody struct {
 	io.ReadCloser
-	pool   *Pool
-	conn   *kept
-	stop   func() bool
-	header http.Header
-	keep   bool
-	ended  bool
-	closed bool
+	pool       *Pool
+	conn       *pooledConn
+	stopCancel func() bool
+	header     http.Header
+	reusable   bool
+	readToEnd  bool
+	closed     bool
 }
 
-// Read implements io.Reader. Its error is ErrUnknown if the answer was cut short.
-func (b *body) Read(buf []byte) (int, error) {
+// Read implements io.Reader. The error is ErrUnknown if the response was truncated.
+func (b *pooledBody) Read(buf []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buf)
 	if err == io.EOF {
-		b.ended = true
+		b.readToEnd = true
 	} else if err != nil {
 		err = errors.WithType(err, ErrUnknown)
 	}
@@ -400,22 +415,22 @@
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
+func (b *pooledBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	if b.stop() && b.ended && b.keep {
-		b.pool.put(b.conn, b.pool.keepFor(b.header))
+	if b.stopCancel() && b.readToEnd && b.reusable {
+		b.pool.keepIdle(b.conn, b.pool.idleTimeout(b.header))
 		return nil
 	}
-	b.pool.drop(b.conn)
+	b.pool.discard(b.conn)
 	return nil
 }
 
-// Buffered is how many bytes of the connection can be read without waiting.
+// Buffered returns how many bytes of the connection can be read without blocking.
 func Buffered(resp *http.Response) int {
-	if b, ok := resp.Body.(*body); ok {
+	if b, ok := resp.Body.(*pooledBody); ok {
 		return b.conn.reader.Buffered()
 	}
 	return 0
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,16 +13,16 @@
 	"github.com/shoenig/test/must"
 )
 
-func testPool() *Pool { return NewPool(time.Second, time.Second) }
+func newTestPool() *Pool { return NewPool(time.Second, time.Second) }
 
-func get(address string) *Call {
+func newGetCall(address string) *Call {
 	return &Call{Address: address, Method: http.MethodGet, Target: "/x?y=%2F", Host: "h", Header: http.Header{"Id": {"1"}},
-		Own: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
+		IsOwnResponse: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
 }
 
-const own = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
+const ownResponse = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
 
-func read(t *testing.T, p *Pool, call *Call) (string, error) {
+func readResponse(t *testing.T, p *Pool, call *Call) (string, error) {
 	t.Helper()
 	resp, err := p.Do(context.Background(), call)
 	if err != nil {
@@ -35,124 +35,124 @@
 
 func address(url string) string { return strings.TrimPrefix(url, "http://") }
 
-func TestPoolKeepsAConnection(t *testing.T) {
-	url, _ := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, own) })
-	p := testPool()
+func TestPoolReusesAConnection(t *testing.T) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, ownResponse) })
+	p := newTestPool()
 	for range 3 {
-		body, err := read(t, p, get(address(url)))
+		body, err := readResponse(t, p, newGetCall(address(url)))
 		must.NoError(t, err)
 		must.Eq(t, "ok", body)
 	}
 	must.Eq(t, 1, p.Opened())
 }
 
-func TestPoolPassesOverASurplusAnswer(t *testing.T) {
+func TestPoolSkipsAForeignResponse(t *testing.T) {
 	foreign := "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 3\r\n\r\nold"
-	url, _ := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, foreign+own) })
-	body, err := read(t, testPool(), get(address(url)))
+	url, _ := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, foreign+ownResponse) })
+	body, err := readResponse(t, newTestPool(), newGetCall(address(url)))
 	must.NoError(t, err)
 	must.Eq(t, "ok", body)
 }
 
-func TestPoolDropsAConnectionWithBytesAfterTheAnswer(t *testing.T) {
-	url, _ := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, own+"HTTP/1.1 200 OK\r\n") })
-	p := testPool()
+func TestPoolDiscardsAConnectionWithBytesAfterTheResponse(t *testing.T) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, ownResponse+"HTTP/1.1 200 OK\r\n") })
+	p := newTestPool()
 	for range 2 {
-		_, err := read(t, p, get(address(url)))
+		_, err := readResponse(t, p, newGetCall(address(url)))
 		must.NoError(t, err)
 	}
 	must.Eq(t, 2, p.Opened())
 }
 
-// A GET over a kept connection that the upstream closes unanswered is not sent
-// again behind our back.
+// A GET on a reused connection that the upstream closes without a response is not retried
+// implicitly.
 func TestPoolSendsOnce(t *testing.T) {
-	url, requests := server(t, func(n int64, c net.Conn) {
+	url, requests := startServer(t, func(n int64, c net.Conn) {
 		if n == 1 {
-			_, _ = io.WriteString(c, own)
+			_, _ = io.WriteString(c, ownResponse)
 			return
 		}
 		c.Close()
 	})
-	p := testPool()
-	_, err := read(t, p, get(address(url)))
+	p := newTestPool()
+	_, err := readResponse(t, p, newGetCall(address(url)))
 	must.NoError(t, err)
-	_, err = read(t, p, get(address(url)))
+	_, err = readResponse(t, p, newGetCall(address(url)))
 	must.ErrorIs(t, err, ErrUnknown)
 	must.Eq(t, 2, requests.Load())
 }
 
 func TestPoolDoesNotUseAClosedIdleConnection(t *testing.T) {
 	closed := make(chan struct{}, 1)
-	url, requests := server(t, func(_ int64, c net.Conn) {
-		_, _ = io.WriteString(c, own)
+	url, requests := startServer(t, func(_ int64, c net.Conn) {
+		_, _ = io.WriteString(c, ownResponse)
 		c.Close()
 		closed <- struct{}{}
 	})
-	p := testPool()
+	p := newTestPool()
 	for range 3 {
-		_, err := read(t, p, get(address(url)))
+		_, err := readResponse(t, p, newGetCall(address(url)))
 		must.NoError(t, err)
 		<-closed
 	}
 	must.Eq(t, 3, requests.Load())
 }
 
-func TestPoolTellsWhatWasNotSent(t *testing.T) {
+func TestPoolReportsRequestsThatWereNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	must.NoError(t, l.Close())
-	_, err = read(t, testPool(), get(l.Addr().String()))
+	_, err = readResponse(t, newTestPool(), newGetCall(l.Addr().String()))
 	must.ErrorIs(t, err, ErrNotSent)
-	p := testPool()
-	p.MaxOpen = 1
-	url, _ := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, own) })
-	resp, err := p.Do(context.Background(), get(address(url)))
+	p := newTestPool()
+	p.MaxOpenPerAddress = 1
+	url, _ := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, ownResponse) })
+	resp, err := p.Do(context.Background(), newGetCall(address(url)))
 	must.NoError(t, err)
-	_, err = p.Do(context.Background(), get(address(url)))
+	_, err = p.Do(context.Background(), newGetCall(address(url)))
 	must.ErrorIs(t, err, ErrBusy)
 	must.NoError(t, resp.Body.Close())
 }
 
-func TestPoolTellsACutAnswer(t *testing.T) {
+func TestPoolReportsATruncatedResponse(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nok",
 		"chunked": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 		"garbage": "no answer at all\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			url, _ := server(t, func(_ int64, c net.Conn) {
+			url, _ := startServer(t, func(_ int64, c net.Conn) {
 				_, _ = io.WriteString(c, answer)
 				c.Close()
 			})
-			_, err := read(t, testPool(), get(address(url)))
+			_, err := readResponse(t, newTestPool(), newGetCall(address(url)))
 			must.ErrorIs(t, err, ErrUnknown)
 		})
 	}
 }
 
-// An answer without a length ends with its connection, but not with a reset.
-func TestPoolTellsAResetFromAnEnd(t *testing.T) {
+// A response without framing is complete when the connection is closed, but not when it is reset.
+func TestPoolDistinguishesAResetFromTheEndOfAResponse(t *testing.T) {
 	unframed := "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok"
-	url, _ := server(t, func(_ int64, c net.Conn) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) {
 		_, _ = io.WriteString(c, unframed)
 		c.Close()
 	})
-	body, err := read(t, testPool(), get(address(url)))
+	body, err := readResponse(t, newTestPool(), newGetCall(address(url)))
 	must.NoError(t, err)
 	must.Eq(t, "ok", body)
-	reset, _ := server(t, func(_ int64, c net.Conn) {
+	reset, _ := startServer(t, func(_ int64, c net.Conn) {
 		_, _ = io.WriteString(c, unframed)
 		_ = c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	})
-	_, err = read(t, testPool(), get(address(reset)))
+	_, err = readResponse(t, newTestPool(), newGetCall(address(reset)))
 	must.ErrorIs(t, err, ErrUnknown)
 }
 
 func TestPoolClosesTheConnectionWhenItsContextEnds(t *testing.T) {
 	arrived, gone := make(chan struct{}), make(chan struct{})
-	url, _ := server(t, func(_ int64, c net.Conn) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) {
 		close(arrived)
 		_, _ = io.ReadAll(c)
 		close(gone)
@@ -162,31 +162,32 @@
 		<-arrived
 		cancel()
 	}()
-	_, err := testPool().Do(ctx, get(address(url)))
+	_, err := newTestPool().Do(ctx, newGetCall(address(url)))
 	must.True(t, errors.Is(err, ErrUnknown))
 	<-gone
 }
 
-func TestPoolHeedsKeepAlive(t *testing.T) {
+func TestPoolHonorsKeepAliveTimeout(t *testing.T) {
 	p := NewPool(time.Second, 10*time.Second)
-	must.Eq(t, 10*time.Second, p.keepFor(http.Header{}))
-	must.Eq(t, 2*time.Second-idleMargin, p.keepFor(http.Header{"Keep-Alive": {"max=5, timeout=2"}}))
-	must.Eq(t, 10*time.Second, p.keepFor(http.Header{"Keep-Alive": {"timeout=60"}}))
+	must.Eq(t, 10*time.Second, p.idleTimeout(http.Header{}))
+	must.Eq(t, 2*time.Second-idleTimeoutMargin, p.idleTimeout(http.Header{"Keep-Alive": {"max=5, timeout=2"}}))
+	must.Eq(t, 10*time.Second, p.idleTimeout(http.Header{"Keep-Alive": {"timeout=60"}}))
 }
 
-func TestPoolSweepsOldConnections(t *testing.T) {
-	url, _ := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, own) })
-	p := testPool()
-	_, err := read(t, p, get(address(url)))
+func TestSweepClosesExpiredConnections(t *testing.T) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, ownResponse) })
+	p := newTestPool()
+	_, err := readResponse(t, p, newGetCall(address(url)))
 	must.NoError(t, err)
 	p.Sweep(time.Now().Add(time.Minute))
-	must.MapEmpty(t, p.idle)
-	must.MapEmpty(t, p.open)
+	must.MapEmpty(t, p.idleConns)
+	must.MapEmpty(t, p.openCount)
 }
 
-// An upstream with too many connections resets new ones. A request that must not be
-// repeated was not sent then (seen in an incident: 140 answers "may have run").
-func TestFreshConnectionThatIsResetWasNotSentOn(t *testing.T) {
+// An upstream with too many connections resets new ones. A request that must not be retried must
+// not be written in that case; otherwise its outcome is unknown (140 responses "may have run" in
+// one incident).
+func TestRequestIsNotSentOnANewConnectionThatIsReset(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -200,18 +201,18 @@
 			c.Close()
 		}
 	}()
-	call := get(l.Addr().String())
-	call.Fresh = true
-	_, err = read(t, testPool(), call)
+	call := newGetCall(l.Addr().String())
+	call.NewConnection = true
+	_, err = readResponse(t, newTestPool(), call)
 	must.ErrorIs(t, err, ErrNotSent)
 }
 
-func TestPoolKeepsFewIdleConnections(t *testing.T) {
-	url, _ := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, own) })
-	p := testPool()
+func TestPoolLimitsIdleConnections(t *testing.T) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, ownResponse) })
+	p := newTestPool()
 	var open []*http.Response
-	for range 2 * idlePerAddress {
-		resp, err := p.Do(context.Background(), get(address(url)))
+	for range 2 * maxIdlePerAddress {
+		resp, err := p.Do(context.Background(), newGetCall(address(url)))
 		must.NoError(t, err)
 		open = append(open, resp)
 	}
@@ -220,23 +221,23 @@
 		must.NoError(t, err)
 		must.NoError(t, resp.Body.Close())
 	}
-	must.Len(t, idlePerAddress, p.idle[address(url)])
-	must.Eq(t, idlePerAddress, p.open[address(url)])
+	must.Len(t, maxIdlePerAddress, p.idleConns[address(url)])
+	must.Eq(t, maxIdlePerAddress, p.openCount[address(url)])
 }
 
-// Guards against a request that is written although its instance asked for none while the
-// connection came up, and against a connection that is lost by it.
+// Guards against a request that is written although its instance announced a limit while the
+// connection was established, and against losing that connection.
 func TestPoolWithholdsARequestBeforeItsFirstByte(t *testing.T) {
-	url, requests := server(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, own) })
-	p := testPool()
-	call := get(address(url))
+	url, requests := startServer(t, func(_ int64, c net.Conn) { _, _ = io.WriteString(c, ownResponse) })
+	p := newTestPool()
+	call := newGetCall(address(url))
 	call.Withhold = func() bool { return true }
 	_, err := p.Do(t.Context(), call)
 	must.ErrorIs(t, err, ErrWithheld)
 	must.ErrorIs(t, err, ErrNotSent)
 	must.Eq(t, 0, requests.Load())
 	call.Withhold = func() bool { return false }
-	_, err = read(t, p, call)
+	_, err = readResponse(t, p, call)
 	must.NoError(t, err)
 	must.Eq(t, 1, p.Opened(), must.Sprint("connections"))
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,10 +1,9 @@
-// Package upstream sends one attempt of a request to an engine or a plain
-// service, and tells truthfully what became of it: an answer, surely not run, or
-// unknown.
+// Package upstream sends one attempt of a request to an engine or a plain service, and reports
+// its outcome: a response, not run, or unknown.
 //
-// It uses the standard library's HTTP client rather than the house's, because
-// the promise "not run" rests on knowing when a connection was had and on no
-// request ever being replayed behind our back; see docs/design/answers.md.
+// Client uses the standard library's HTTP client rather than the organisation's common one,
+// because "not run" can only be reported if it is known whether a connection was obtained and
+// if no request is ever retried implicitly; see docs/design/answers.md.
 package upstream
 
 import (
@@ -21,43 +20,44 @@
 
 // Errors of an attempt.
 const (
-	// ErrNotSent: no connection was had; not a byte left. The request was not run.
+	// ErrNotSent means that no byte was sent, so the request has not run.
 	ErrNotSent = errors.ConstError("upstream: not sent")
-	// ErrUnknown: bytes may have been sent and no whole answer came.
+	// ErrUnknown means that bytes may have been sent and no complete response was received.
 	ErrUnknown = errors.ConstError("upstream: outcome unknown")
-	// ErrCrossed: the answer was for another request; the connection is closed.
-	// What became of our own request is unknown.
-	ErrCrossed = errors.ConstError("upstream: answer to another request")
-	// ErrTooLarge: the answer exceeds the limit; the request has run.
-	ErrTooLarge = errors.ConstError("upstream: answer too large")
+	// ErrCrossed means that the response belongs to another request. The connection is closed,
+	// and the outcome of this request is unknown.
+	ErrCrossed = errors.ConstError("upstream: response to another request")
+	// ErrTooLarge means that the response exceeds the limit; the request has run.
+	ErrTooLarge = errors.ConstError("upstream: response too large")
 )
 
-// Client sends attempts. Safe for concurrent use.
+// Client sends single attempts of requests. Safe for concurrent use.
 type Client struct {
 	pooled *http.Client
-	// fresh opens a connection for each request. On a fresh connection the
-	// transport never replays a request, whatever its headers.
+	// fresh opens a new connection for each request. The transport never retries a request on a
+	// new connection, whatever its headers are.
 	fresh *http.Client
 }
 
-// idlePerHost is how many idle connections are kept to one upstream.
-const idlePerHost = 256
+// maxIdlePerHost limits the idle connections to one upstream.
+const maxIdlePerHost = 256
 
-// New returns a client; connect bounds how long a connection may take.
+// New returns a client with the given connect timeout.
 func New(connect time.Duration) *Client {
 	dial := (&net.Dialer{Timeout: connect}).DialContext
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{
 		pooled: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
-			DialContext: dial, MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: 30 * time.Second, DisableCompression: true}},
+			DialContext: dial, MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: 30 * time.Second, DisableCompression: true}},
 		fresh: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dial, DisableKeepAlives: true, DisableCompression: true}},
 	}
 }
 
-// Do sends the request once and returns the head of the answer. once selects a
-// fresh connection. The caller closes the body; closing it before its end closes
-// the connection, so an answer still owed is never read as another's.
+// Do sends the request once and returns its response after reading the header. If once is set,
+// it uses a new connection, so that the request runs at most once. The error is ErrNotSent if no
+// connection was obtained, and otherwise ErrUnknown. The caller must close the body. Closing it
+// before its end closes the connection, so the rest can't be read as another response.
 func (c *Client) Do(req *http.Request, once bool) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -77,8 +77,8 @@
 	return nil, errors.WithType(err, ErrNotSent)
 }
 
-// ReadWhole reads an answer's body to its end, up to limit bytes. A body cut
-// short is ErrUnknown, never a short answer.
+// ReadWhole reads a response's body to its end. The error is ErrUnknown if the body is truncated
+// and ErrTooLarge if it exceeds limit bytes.
 func ReadWhole(resp *http.Response, limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(limit)+1))
 	if err != nil {
@@ -90,8 +90,8 @@
 	return body, nil
 }
 
-// Detached returns a context that ends with its own timeout but not with ctx,
-// for work that must be finished after a caller left.
+// Detached returns a context that ends after its own timeout but not with ctx, for work that
+// must be finished after the caller has disconnected.
 func Detached(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(ctx), timeout)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,9 +13,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// server answers each connection by the function and counts the requests that it
-// read whole heads of.
-func server(t *testing.T, answer func(n int64, c net.Conn)) (url string, requests *atomic.Int64) {
+// startServer starts a server that calls answer for each request and counts the requests whose
+// header it has read.
+func startServer(t *testing.T, answer func(n int64, c net.Conn)) (url string, requests *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -42,7 +42,7 @@
 	return "http://" + listener.Addr().String(), requests
 }
 
-func request(t *testing.T, method, url, key string) *http.Request {
+func newRequest(t *testing.T, method, url, key string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), method, url, strings.NewReader(""))
 	must.NoError(t, err)
@@ -58,74 +58,74 @@
 	url := "http://" + listener.Addr().String()
 	listener.Close()
 	for _, once := range []bool{false, true} {
-		_, err = New(time.Second).Do(request(t, http.MethodPost, url, ""), once)
+		_, err = New(time.Second).Do(newRequest(t, http.MethodPost, url, ""), once)
 		must.ErrorIs(t, err, ErrNotSent)
 	}
 }
 
-func TestCutBeforeTheAnswerIsUnknown(t *testing.T) {
-	url, _ := server(t, func(_ int64, c net.Conn) { c.Close() })
-	_, err := New(time.Second).Do(request(t, http.MethodPost, url, ""), true)
+func TestConnectionClosedBeforeTheResponseIsUnknown(t *testing.T) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) { c.Close() })
+	_, err := New(time.Second).Do(newRequest(t, http.MethodPost, url, ""), true)
 	must.ErrorIs(t, err, ErrUnknown)
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// TestOnceIsNeverReplayed: the transport takes an Idempotency-Key as leave to send
-// a request again when a reused connection turns out closed. At-most-once requests
-// must reach the upstream once whatever it does.
-func TestOnceIsNeverReplayed(t *testing.T) {
-	url, requests := server(t, func(n int64, c net.Conn) {
+// Guards against implicit retries: the standard transport retries a request with an
+// Idempotency-Key when a reused connection turns out to be closed. A request that must run at
+// most once must reach the upstream only once whatever the upstream does.
+func TestAtMostOnceRequestIsNeverReplayed(t *testing.T) {
+	url, requests := startServer(t, func(n int64, c net.Conn) {
 		if n == 1 {
-			_, _ = c.Write([]byte(okAnswer)) // leaves a connection that could be reused
+			_, _ = c.Write([]byte(okResponse)) // leaves a reusable connection
 			return
 		}
 		c.Close()
 	})
 	client := New(time.Second)
-	resp, err := client.Do(request(t, http.MethodGet, url, ""), false)
+	resp, err := client.Do(newRequest(t, http.MethodGet, url, ""), false)
 	must.NoError(t, err)
 	_, err = ReadWhole(resp, 10)
 	must.NoError(t, err)
 	resp.Body.Close()
 
-	_, err = client.Do(request(t, http.MethodPost, url, "crew-call"), true)
+	_, err = client.Do(newRequest(t, http.MethodPost, url, "crew-call"), true)
 	must.ErrorIs(t, err, ErrUnknown)
 	must.Eq(t, int64(2), requests.Load())
 }
 
-func TestShortAndLongAnswersAreNotWhole(t *testing.T) {
-	url, _ := server(t, func(_ int64, c net.Conn) {
+func TestTruncatedAndOversizedResponsesAreErrors(t *testing.T) {
+	url, _ := startServer(t, func(_ int64, c net.Conn) {
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort"))
 		c.Close()
 	})
-	resp, err := New(time.Second).Do(request(t, http.MethodGet, url, ""), false)
+	resp, err := New(time.Second).Do(newRequest(t, http.MethodGet, url, ""), false)
 	must.NoError(t, err)
 	_, err = ReadWhole(resp, 100)
 	must.ErrorIs(t, err, ErrUnknown)
 
-	url, _ = server(t, func(_ int64, c net.Conn) { _, _ = c.Write([]byte(okAnswer)) })
-	resp, err = New(time.Second).Do(request(t, http.MethodGet, url, ""), false)
+	url, _ = startServer(t, func(_ int64, c net.Conn) { _, _ = c.Write([]byte(okResponse)) })
+	resp, err = New(time.Second).Do(newRequest(t, http.MethodGet, url, ""), false)
 	must.NoError(t, err)
 	_, err = ReadWhole(resp, 1)
 	must.ErrorIs(t, err, ErrTooLarge)
 }
 
-// TestConnectionWithAnAnswerOwedIsNotReused: closing a body before its end closes
-// the connection, so the rest can't be read as the next answer.
-func TestConnectionWithAnAnswerOwedIsNotReused(t *testing.T) {
-	url, _ := server(t, func(n int64, c net.Conn) {
+// Closing a body before its end must close the connection, so that the rest can't be read as the
+// next response.
+func TestConnectionWithAnUnreadResponseIsNotReused(t *testing.T) {
+	url, _ := startServer(t, func(n int64, c net.Conn) {
 		if n == 1 {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst"))
 			return
 		}
-		_, _ = c.Write([]byte(okAnswer))
+		_, _ = c.Write([]byte(okResponse))
 	})
 	client := New(time.Second)
-	resp, err := client.Do(request(t, http.MethodGet, url, ""), false)
+	resp, err := client.Do(newRequest(t, http.MethodGet, url, ""), false)
 	must.NoError(t, err)
 	resp.Body.Close()
-	resp, err = client.Do(request(t, http.MethodGet, url, ""), false)
+	resp, err = client.Do(newRequest(t, http.MethodGet, url, ""), false)
 	must.NoError(t, err)
 	body, err := ReadWhole(resp, 10)
 	must.NoError(t, err)
