--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -12,64 +12,65 @@
 	"pearlanding/internal/objectapi"
 )
 
-// Forwarder hands records to the preferred daemon of a shard, which batches for
-// all. ok is false when this daemon is the preferred one itself.
+// Forwarder forwards records to the preferred daemon of a shard, which batches the records of
+// all daemons. ok is false if this daemon is the preferred one itself.
 type Forwarder interface {
 	Forward(ctx context.Context, shard int, records []Record) (entries []Entry, ok bool, err error)
 }
 
-// Duty names the duty of batching a shard's records.
+// Duty returns the name of the duty of batching a shard's records.
 func Duty(shard int) string { return fmt.Sprintf("ledger/%d", shard) }
 
-// Config is what a ledger runs with.
+// Config is the configuration of a ledger.
 type Config struct {
 	Store     objectapi.Store
 	Shards    int
 	Options   Options
 	Forwarder Forwarder // nil: always append here
-	// AppendsPerSecond bounds the batches of one shard.
+	// AppendsPerSecond limits the rate of batches per shard.
 	AppendsPerSecond float64
-	Timeout          time.Duration // of one append
+	Timeout          time.Duration // of one append, on this or the preferred daemon
 	Now              func() time.Time
 }
 
-// Ledger appends records, batching what arrives while a write is in flight.
-// Safe for concurrent use. Its goroutines end with the context given to Run.
+// Ledger appends records, and batches those that arrive while a write is in flight. Safe for
+// concurrent use. Its goroutines stop when the context given to Run ends.
 type Ledger struct {
 	cfg    Config
 	queues []chan *pending
 }
 
-// pending is one caller's records waiting to be appended.
+// pending is one caller's records that wait to be appended.
 type pending struct {
 	ctx     context.Context
 	records []Record
-	done    chan appended
+	done    chan appendResult
 }
 
-// size estimates the stored bytes of the records.
+// size estimates the size of the stored records in bytes.
 func (p *pending) size() int {
-	const fixed = 256
+	const overhead = 256 // bytes per record besides its key and body
 	n := 0
 	for _, r := range p.records {
-		n += fixed + len(r.Key) + len(r.Result.Body)*4/3
+		n += overhead + len(r.Key) + len(r.Result.Body)*4/3
 	}
 	return n
 }
 
-type appended struct {
+// appendResult is the result of one caller's append.
+type appendResult struct {
 	entries []Entry
 	err     error
 }
 
-// maxBatchBytes bounds the records of one log object, below the platform's limit
-// for a value even with one largest record on top.
+// maxBatchBytes limits the records of one log object. A batch stays below the platform's value
+// limit even if a record of maximum size exceeds this limit.
 const maxBatchBytes = 256 << 10
 
-// queueLength is how many callers may wait on a shard; more are refused at once.
+// queueLength is how many callers may wait for a shard; more are refused at once.
 const queueLength = 1024
 
-// New returns a ledger; Run must be running for appends to make progress.
+// New returns a ledger. Appends complete only while Run is running.
 func New(cfg Config) *Ledger {
 	l := &Ledger{cfg: cfg, queues: make([]chan *pending, cfg.Shards)}
 	for i := range l.queues {
@@ -82,15 +83,16 @@
 func (l *Ledger) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for id := range l.queues {
-		wg.Go(func() { l.serve(ctx, id) })
+		wg.Go(func() { l.runShard(ctx, id) })
 	}
 	wg.Wait()
 }
 
-// serve is the one goroutine that owns a shard's view.
-func (l *Ledger) serve(ctx context.Context, id int) {
+// runShard appends the queued records of a shard until ctx ends. Its goroutine alone accesses
+// the shard's state.
+func (l *Ledger) runShard(ctx context.Context, id int) {
 	s := newShard(id, l.cfg.Store, l.cfg.Options, l.cfg.Now)
-	pace := rate.NewLimiter(rate.Limit(l.cfg.AppendsPerSecond), 2)
+	limiter := rate.NewLimiter(rate.Limit(l.cfg.AppendsPerSecond), 2)
 	for {
 		var first *pending
 		select {
@@ -98,15 +100,15 @@
 		case <-ctx.Done():
 			return
 		}
-		if pace.Wait(ctx) != nil {
+		if limiter.Wait(ctx) != nil {
 			return
 		}
-		l.appendBatch(ctx, s, l.collect(id, first))
+		l.appendBatch(ctx, s, l.collectBatch(id, first))
 	}
 }
 
-// collect takes everything that waits, up to a batch.
-func (l *Ledger) collect(id int, first *pending) []*pending {
+// collectBatch dequeues all waiting records, up to maxBatchBytes.
+func (l *Ledger) collectBatch(id int, first *pending) []*pending {
 	batch := []*pending{first}
 	n := first.size()
 	for n < maxBatchBytes {
@@ -121,28 +123,31 @@
 	return batch
 }
 
+// appendBatch appends the records of the waiting callers in one write and sends each its result.
+// It leaves out records whose caller's context has ended, and claims of new keys if the shard is
+// full.
 func (l *Ledger) appendBatch(ctx context.Context, s *shard, waiting []*pending) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.Timeout)
 	defer cancel()
 	if !s.loaded {
 		if err := s.load(ctx); err != nil {
-			answer(waiting, err)
+			failAll(waiting, err)
 			return
 		}
 	}
 	var records []Record
-	var taken []*pending
+	var accepted []*pending
 	for _, p := range waiting {
 		if p.ctx.Err() != nil {
-			p.done <- appended{err: errors.WithType(p.ctx.Err(), ErrUnavailable)}
+			p.done <- appendResult{err: errors.WithType(p.ctx.Err(), ErrUnavailable)}
 			continue
 		}
-		if len(p.records) == 1 && s.full(p.records[0]) {
-			p.done <- appended{err: ErrFull}
+		if len(p.records) == 1 && s.isFull(p.records[0]) {
+			p.done <- appendResult{err: ErrFull}
 			continue
 		}
 		records = append(records, p.records...)
-		taken = append(taken, p)
+		accepted = append(accepted, p)
 	}
 	if len(records) == 0 {
 		return
@@ -150,30 +155,33 @@
 	entries, err := s.append(ctx, records)
 	if err != nil {
 		s.loaded = false
-		answer(taken, errors.WithType(err, ErrUnavailable))
+		failAll(accepted, errors.WithType(err, ErrUnavailable))
 		return
 	}
-	for _, p := range taken {
+	for _, p := range accepted {
 		n := len(p.records)
-		p.done <- appended{entries: entries[:n:n]}
+		p.done <- appendResult{entries: entries[:n:n]}
 		entries = entries[n:]
 	}
 	s.compact(ctx)
 }
 
-func answer(waiting []*pending, err error) {
+// failAll sends err to all waiting callers.
+func failAll(waiting []*pending, err error) {
 	for _, p := range waiting {
-		p.done <- appended{err: err}
+		p.done <- appendResult{err: err}
 	}
 }
 
-// AppendHere makes records of one shard durable through this daemon's own view
-// and returns the entry of each key. On an error none may be acted on.
+// AppendHere writes records of one shard from this daemon, without the Forwarder, and returns
+// the entry of each record's key once they are durable. After an error the records may or may not
+// be written, and no request may be sent on their account. The error is ErrFull if the shard is
+// full, and ErrUnavailable if the platform can't be written or the queue is full.
 func (l *Ledger) AppendHere(ctx context.Context, id int, records []Record) ([]Entry, error) {
 	if id < 0 || id >= len(l.queues) {
 		return nil, errors.NotValidf("shard %d", id)
 	}
-	p := &pending{ctx: ctx, records: records, done: make(chan appended, 1)}
+	p := &pending{ctx: ctx, records: records, done: make(chan appendResult, 1)}
 	select {
 	case l.queues[id] <- p:
 	default:
@@ -187,9 +195,8 @@
 	}
 }
 
-// append goes through the preferred daemon and, if that fails, through this one.
-// Records are idempotent by attempt, so a forward whose answer was lost does no
-// harm.
+// append writes the record through the preferred daemon or, if that fails, from this daemon.
+// Records are idempotent per attempt, so a forward whose reply was lost does no harm.
 func (l *Ledger) append(ctx context.Context, r Record) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.Timeout)
 	defer cancel()
@@ -211,10 +218,9 @@
 	return entries[0], nil
 }
 
-// Claim asks for the key. granted says that this attempt, and no other ever
-// before or after unless this one is recorded as not run, may be dispatched. If
-// not granted, the entry is the one that stands. After an error the attempt must
-// not be dispatched.
+// Claim claims the key for an attempt. If granted is true, this attempt may be dispatched, and no
+// other attempt of the key ever may, unless this one is recorded as not run. If granted is false,
+// e is the key's existing entry. After an error the attempt must not be dispatched.
 func (l *Ledger) Claim(ctx context.Context, r Record) (e Entry, granted bool, err error) {
 	r.Kind = KindClaim
 	e, err = l.append(ctx, r)
@@ -224,8 +230,8 @@
 	return e, e.Attempt == r.Attempt && e.Result.Status == StatusClaimed, nil
 }
 
-// Settle records the outcome of the attempt that holds the claim. An error means
-// that a repeat of the key will hear "may have run".
+// Settle records the outcome of the attempt that holds the claim. After an error a retry with the
+// same key is told that the request may have run.
 func (l *Ledger) Settle(ctx context.Context, key, attempt string, result Result) error {
 	_, err := l.append(ctx, Record{Kind: KindOutcome, Key: key, Attempt: attempt, Result: result})
 	return err
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -1,10 +1,10 @@
-// Package ledger is the durable record of requests that may not be repeated.
+// Package ledger is the durable record of requests that must not be retried.
 //
-// The key space is cut into shards. A shard is a log of create-if-absent platform
-// objects and a snapshot that the log's head is rolled into. A claim is durable
-// before the first byte of its request goes upstream. Whoever appends has seen
-// every earlier record of the shard, because the create of the next number fails
-// otherwise; so at most one attempt ever holds a key, whoever does the writing.
+// The key space is divided into shards. A shard is a log of platform objects, each created only
+// if its number is unused, and a snapshot into which the oldest objects are compacted. A claim is
+// durable before the first byte of its request is sent upstream. A daemon that appends a record
+// has seen all earlier records of the shard, because otherwise creating the object with the next
+// number fails. Therefore at most one attempt ever holds a key, whichever daemon writes.
 package ledger
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/google/uuid"
 )
 
-// Kind tells what a record says.
+// Kind is the kind of a record.
 type Kind string
 
 // Kinds of records.
@@ -23,15 +23,15 @@
 	KindOutcome Kind = "outcome"
 )
 
-// Status is how a claimed request ended.
+// Status is the outcome of a claimed request.
 type Status string
 
 // Statuses of an entry.
 const (
 	StatusClaimed Status = "claimed"      // no outcome recorded
-	StatusDone    Status = "done"         // a whole answer was had
-	StatusUnknown Status = "may_have_run" // bytes were sent, no whole answer
-	StatusNotRun  Status = "not_run"      // surely not run; the key is free again
+	StatusDone    Status = "done"         // a complete response was received
+	StatusUnknown Status = "may_have_run" // bytes were sent, but no complete response was received
+	StatusNotRun  Status = "not_run"      // certainly not run; the key is free again
 )
 
 // Claimant names the daemon process that holds a claim.
@@ -46,7 +46,7 @@
 	HTTPStatus  int    `json:"http_status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// BodyDropped: the answer was whole but its body is not kept.
+	// BodyDropped means that the response was complete but its body is not stored.
 	BodyDropped bool `json:"body_dropped,omitempty"`
 }
 
@@ -56,23 +56,23 @@
 	Key      string   `json:"key"`
 	Attempt  string   `json:"attempt"`
 	Claimant Claimant `json:"claimant,omitzero"`
-	Digest   uint64   `json:"digest,omitempty"` // of the request, to tell a reused key
+	Digest   uint64   `json:"digest,omitempty"` // of the request, to detect a key reused for another one
 	Result   Result   `json:"result,omitzero"`
 }
 
-// Entry is what a shard knows of one key after folding its log.
+// Entry is the state of one key after all records of its shard's log are applied.
 type Entry struct {
 	Attempt  string   `json:"attempt"`
 	Claimant Claimant `json:"claimant"`
 	Digest   uint64   `json:"digest,omitempty"`
 	Result   Result   `json:"result"`
-	Order    uint64   `json:"order"` // of the claim, to drop old bodies first
+	Order    uint64   `json:"order"` // number of the claim's log object; bodies are dropped in this order
 }
 
-// fold applies one record to the entries and returns the entry that stands.
+// fold applies one record to the entries and returns the resulting entry of its key.
 //
-//   - a claim holds if the key is free: unknown, or its last attempt did not run;
-//   - an outcome holds if its attempt holds the claim and has none yet.
+//   - A claim takes effect if the key is free: unknown, or its last attempt did not run.
+//   - An outcome takes effect if its attempt holds the claim and has no outcome yet.
 func fold(entries map[string]Entry, r Record, order uint64) Entry {
 	e, known := entries[r.Key]
 	switch {
@@ -86,13 +86,13 @@
 	return e
 }
 
-// Key is the ledger key of a caller's idempotency key.
+// Key returns the ledger key of a workspace's idempotency key.
 func Key(workspace, idempotencyKey string) string { return workspace + "/" + idempotencyKey }
 
 // ShardOf returns the shard of a key.
 func ShardOf(key string, shards int) int { return int(xxhash.Sum64String(key) % uint64(shards)) }
 
-// KeyTime returns the time that an idempotency key carries (UUIDv7), if any.
+// KeyTime returns the timestamp of an idempotency key that is a UUIDv7; false if it is none.
 func KeyTime(idempotencyKey string) (time.Time, bool) {
 	id, err := uuid.Parse(idempotencyKey)
 	if err != nil || id.Version() != 7 {
@@ -102,12 +102,12 @@
 	return time.Unix(sec, nsec), true
 }
 
-// ClockSkew is how far the clocks of callers and daemons may be apart; entries
-// are forgotten that much later than repeats are refused.
+// ClockSkew is the maximum difference between the clocks of callers and daemons. Entries are
+// dropped that much later than retries are refused.
 const ClockSkew = 5 * time.Minute
 
-// Expired tells whether a key carries a time so old that its entry may have been
-// forgotten: a repeat must be refused as not run.
+// Expired reports whether the timestamp of a key is so old that its entry may have been dropped.
+// A retry must then be refused as not run.
 func Expired(idempotencyKey string, now time.Time, retention time.Duration) bool {
 	at, ok := KeyTime(idempotencyKey)
 	return ok && now.Sub(at) > retention
--- a/internal/ledger/shard_test.go
+++ b/internal/ledger/shard_test.go
@@ -15,52 +15,50 @@
 	"pearlanding/internal/standin/platformfake"
 )
 
-// The simulation lets a few daemons work on one shard through the real code over
-// the stand-in platform. Before and after each platform call another daemon may
-// run a whole operation, a write may lose its answer, be refused, or arrive only
-// later. The judge counts which attempts were told that they may dispatch.
-
+// ledgerSim runs several daemons on one shard, with the real code over a fake platform. Before and
+// after each platform call another daemon may run a complete operation, and a write may lose its
+// reply, be refused, or take effect only later. The simulation records which attempts were told
+// that they may be dispatched, and fails if a key is granted to two of them.
 type ledgerSim struct {
-	t       *rapid.T
-	store   *platformfake.Store
-	daemons []*shard
-	depth   int
-	births  int
-	delayed []func()
-	// granted holds, by key, the attempt that may dispatch and has not been
-	// settled as not run.
+	t             *rapid.T
+	store         *platformfake.Store
+	daemons       []*shard
+	depth         int
+	claimCount    int
+	delayedWrites []func()
+	// granted holds, by key, the attempt that may be dispatched and is not settled as not run.
 	granted map[string]string
-	// claimed holds granted claims still to be settled.
-	claimed []Record
+	// unsettled holds the granted claims without an outcome.
+	unsettled []Record
 }
 
-// faulty is the store as one daemon sees it.
-type faulty struct {
+// faultyStore is the store as one daemon sees it, with faults and interleaved operations.
+type faultyStore struct {
 	*platformfake.Store
 	sim *ledgerSim
 }
 
-func (f *faulty) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (f *faultyStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	f.sim.interleave()
 	obj, err := f.Store.Get(ctx, key)
 	f.sim.interleave()
 	return obj, err
 }
 
-func (f *faulty) Create(ctx context.Context, key string, value []byte) (uint64, error) {
+func (f *faultyStore) Create(ctx context.Context, key string, value []byte) (uint64, error) {
 	return f.write(func() (uint64, error) { return f.Store.Create(ctx, key, value) })
 }
 
-func (f *faulty) Update(ctx context.Context, key string, version uint64, value []byte) (uint64, error) {
+func (f *faultyStore) Update(ctx context.Context, key string, version uint64, value []byte) (uint64, error) {
 	return f.write(func() (uint64, error) { return f.Store.Update(ctx, key, version, value) })
 }
 
-func (f *faulty) Delete(ctx context.Context, key string, version uint64) error {
+func (f *faultyStore) Delete(ctx context.Context, key string, version uint64) error {
 	_, err := f.write(func() (uint64, error) { return 0, f.Store.Delete(ctx, key, version) })
 	return err
 }
 
-func (f *faulty) write(apply func() (uint64, error)) (uint64, error) {
+func (f *faultyStore) write(apply func() (uint64, error)) (uint64, error) {
 	f.sim.interleave()
 	defer f.sim.interleave()
 	switch rapid.SampledFrom([]string{"ok", "ok", "ok", "ok", "lost", "late", "refused"}).Draw(f.sim.t, "write") {
@@ -68,7 +66,7 @@
 		_, _ = apply()
 		return 0, objectapi.ErrUnknownOutcome
 	case "late":
-		f.sim.delayed = append(f.sim.delayed, func() { _, _ = apply() })
+		f.sim.delayedWrites = append(f.sim.delayedWrites, func() { _, _ = apply() })
 		return 0, objectapi.ErrUnknownOutcome
 	case "refused":
 		return 0, objectapi.ErrUnavailable
@@ -76,7 +74,7 @@
 	return apply()
 }
 
-// interleave lets something else happen between two platform calls.
+// interleave runs a random operation of another daemon, or none, between two platform calls.
 func (s *ledgerSim) interleave() {
 	if s.depth >= 2 {
 		return
@@ -89,18 +87,18 @@
 	case "settle":
 		s.settle()
 	case "arrive":
-		s.arrive()
+		s.applyDelayed()
 	}
 }
 
-func (s *ledgerSim) boot(i int) {
+func (s *ledgerSim) startDaemon(i int) {
 	opts := Options{MaxEntries: 50, Retention: time.Hour, CompactAfter: 2}
-	s.daemons[i] = newShard(0, &faulty{s.store, s}, opts, time.Now)
+	s.daemons[i] = newShard(0, &faultyStore{s.store, s}, opts, time.Now)
 }
 
-func (s *ledgerSim) pick() int { return rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, "daemon") }
+func (s *ledgerSim) pickDaemon() int { return rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, "daemon") }
 
-// appendAs runs one append of a daemon that is not in the middle of another.
+// appendAs runs one append on a daemon, unless that daemon is already running one.
 func (s *ledgerSim) appendAs(i int, r Record) (Entry, error) {
 	d := s.daemons[i]
 	if d == nil {
@@ -123,10 +121,10 @@
 }
 
 func (s *ledgerSim) claim() {
-	s.births++
+	s.claimCount++
 	key := fmt.Sprintf("w/k%d", rapid.IntRange(0, 2).Draw(s.t, "key"))
-	r := Record{Kind: KindClaim, Key: key, Attempt: fmt.Sprintf("a%d", s.births)}
-	e, err := s.appendAs(s.pick(), r)
+	r := Record{Kind: KindClaim, Key: key, Attempt: fmt.Sprintf("a%d", s.claimCount)}
+	e, err := s.appendAs(s.pickDaemon(), r)
 	if err != nil || e.Attempt != r.Attempt || e.Result.Status != StatusClaimed {
 		return
 	}
@@ -134,54 +132,54 @@
 		s.t.Fatalf("key %s granted to %s while %s holds it", key, r.Attempt, other)
 	}
 	s.granted[key] = r.Attempt
-	s.claimed = append(s.claimed, r)
+	s.unsettled = append(s.unsettled, r)
 }
 
-// settle records the end of a granted claim; only "not run" frees the key, and
-// only once somebody may have seen it recorded.
+// settle records the outcome of the oldest unsettled claim. Only StatusNotRun frees the key, from
+// the moment at which another daemon may see it recorded.
 func (s *ledgerSim) settle() {
-	if len(s.claimed) == 0 {
+	if len(s.unsettled) == 0 {
 		return
 	}
-	r := s.claimed[0]
-	s.claimed = s.claimed[1:]
+	r := s.unsettled[0]
+	s.unsettled = s.unsettled[1:]
 	status := rapid.SampledFrom([]Status{StatusDone, StatusUnknown, StatusNotRun}).Draw(s.t, "status")
 	if status == StatusNotRun {
-		delete(s.granted, r.Key) // it will never be dispatched from here on
+		delete(s.granted, r.Key) // never dispatched from here on
 	}
-	_, _ = s.appendAs(s.pick(), Record{Kind: KindOutcome, Key: r.Key, Attempt: r.Attempt, Result: Result{Status: status}})
+	_, _ = s.appendAs(s.pickDaemon(), Record{Kind: KindOutcome, Key: r.Key, Attempt: r.Attempt, Result: Result{Status: status}})
 }
 
-func (s *ledgerSim) arrive() {
-	if len(s.delayed) > 0 {
-		f := s.delayed[0]
-		s.delayed = s.delayed[1:]
+func (s *ledgerSim) applyDelayed() {
+	if len(s.delayedWrites) > 0 {
+		f := s.delayedWrites[0]
+		s.delayedWrites = s.delayedWrites[1:]
 		f()
 	}
 }
 
-// TestClaimIsGrantedOnce is promise 5: a key is granted to one attempt only, but
-// after that attempt is recorded as not run.
+// TestClaimIsGrantedOnce checks that a key is granted to another attempt only after the previous
+// one is recorded as not run, so that a request that must not be retried runs at most once.
 func TestClaimIsGrantedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &ledgerSim{t: t, store: platformfake.New(0, 0), granted: map[string]string{}, daemons: make([]*shard, 3)}
 		for i := range s.daemons {
-			s.boot(i)
+			s.startDaemon(i)
 		}
-		act := func(f func()) func(*rapid.T) {
+		action := func(f func()) func(*rapid.T) {
 			return func(t *rapid.T) { s.t = t; f() }
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"claim":       act(s.claim),
-			"claim again": act(s.claim),
-			"settle":      act(s.settle),
-			"arrive":      act(s.arrive),
-			"restart":     act(func() { s.boot(s.pick()) }),
+			"claim":       action(s.claim),
+			"claim again": action(s.claim),
+			"settle":      action(s.settle),
+			"arrive":      action(s.applyDelayed),
+			"restart":     action(func() { s.startDaemon(s.pickDaemon()) }),
 		})
 	})
 }
 
-// newTestLedger runs a ledger over a store until the test ends.
+// newTestLedger returns a ledger over a store that runs until the test ends.
 func newTestLedger(t *testing.T, store objectapi.Store, maxEntries int) *Ledger {
 	t.Helper()
 	l := New(Config{Store: store, Shards: 1, Timeout: time.Second, AppendsPerSecond: 1000,
@@ -193,27 +191,27 @@
 	return l
 }
 
-func claimOf(key, attempt string) Record { return Record{Key: key, Attempt: attempt} }
+func claimRecord(key, attempt string) Record { return Record{Key: key, Attempt: attempt} }
 
-func TestRepeatGetsRecordedOutcomeThroughAnotherDaemon(t *testing.T) {
+func TestRetryGetsRecordedOutcomeThroughAnotherDaemon(t *testing.T) {
 	store := platformfake.New(0, 0)
 	one, two := newTestLedger(t, store, 100), newTestLedger(t, store, 100)
 	ctx := context.Background()
-	_, granted, err := one.Claim(ctx, claimOf("w/k", "a"))
+	_, granted, err := one.Claim(ctx, claimRecord("w/k", "a"))
 	must.NoError(t, err)
 	must.True(t, granted)
 	must.NoError(t, one.Settle(ctx, "w/k", "a", Result{Status: StatusDone, HTTPStatus: 200, Body: []byte("tug sent")}))
-	e, granted, err := two.Claim(ctx, claimOf("w/k", "b"))
+	e, granted, err := two.Claim(ctx, claimRecord("w/k", "b"))
 	must.NoError(t, err)
 	must.False(t, granted)
 	must.Eq(t, "tug sent", string(e.Result.Body))
 }
 
-func TestPlatformOutageRefusesClaimAtOnce(t *testing.T) {
+func TestClaimFailsAtOnceDuringAPlatformOutage(t *testing.T) {
 	store := platformfake.New(0, 0)
 	l := newTestLedger(t, store, 100)
 	store.SetFaults(platformfake.Faults{Outage: true})
-	_, granted, err := l.Claim(context.Background(), claimOf("w/k", "a"))
+	_, granted, err := l.Claim(context.Background(), claimRecord("w/k", "a"))
 	must.ErrorIs(t, err, ErrUnavailable)
 	must.False(t, granted)
 }
@@ -222,44 +220,45 @@
 	l := newTestLedger(t, platformfake.New(0, 0), 3)
 	ctx := context.Background()
 	for i := range 3 {
-		_, granted, err := l.Claim(ctx, claimOf(fmt.Sprintf("w/%d", i), "a"))
+		_, granted, err := l.Claim(ctx, claimRecord(fmt.Sprintf("w/%d", i), "a"))
 		must.NoError(t, err)
 		must.True(t, granted)
 	}
-	_, _, err := l.Claim(ctx, claimOf("w/new", "b"))
+	_, _, err := l.Claim(ctx, claimRecord("w/new", "b"))
 	must.ErrorIs(t, err, ErrFull)
-	_, granted, err := l.Claim(ctx, claimOf("w/0", "b"))
+	_, granted, err := l.Claim(ctx, claimRecord("w/0", "b"))
 	must.NoError(t, err)
 	must.False(t, granted)
 }
 
-func TestForgetKeepsWhatMayStillBeRepeated(t *testing.T) {
+func TestDropExpiredKeepsEntriesThatMayBeRetried(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := newShard(0, platformfake.New(0, 0), Options{Retention: time.Hour}, func() time.Time { return now })
-	old, young := uuidAt(now.Add(-2*time.Hour)), uuidAt(now.Add(-62*time.Minute))
+	expired, recent := uuidAt(now.Add(-2*time.Hour)), uuidAt(now.Add(-62*time.Minute))
 	s.entries = map[string]Entry{
-		"w/" + old:   {Result: Result{Status: StatusDone}},
-		"w/" + young: {Result: Result{Status: StatusDone}}, // within the clock skew
-		"w/timeless": {Result: Result{Status: StatusDone}},
-		"w/not-run":  {Result: Result{Status: StatusNotRun}},
+		"w/" + expired: {Result: Result{Status: StatusDone}},
+		"w/" + recent:  {Result: Result{Status: StatusDone}}, // within the clock skew
+		"w/timeless":   {Result: Result{Status: StatusDone}},
+		"w/not-run":    {Result: Result{Status: StatusNotRun}},
 	}
-	s.forget()
-	must.MapNotContainsKey(t, s.entries, "w/"+old)
+	s.dropExpired()
+	must.MapNotContainsKey(t, s.entries, "w/"+expired)
 	must.MapNotContainsKey(t, s.entries, "w/not-run")
-	must.MapContainsKey(t, s.entries, "w/"+young)
+	must.MapContainsKey(t, s.entries, "w/"+recent)
 	must.MapContainsKey(t, s.entries, "w/timeless")
-	must.True(t, Expired(old, now, time.Hour))
-	must.True(t, Expired(young, now, time.Hour))
+	must.True(t, Expired(expired, now, time.Hour))
+	must.True(t, Expired(recent, now, time.Hour))
 	must.False(t, Expired("timeless", now, time.Hour))
 }
 
-// uuidAt makes a version 7 UUID that carries the time.
+// uuidAt returns a version 7 UUID with the given timestamp.
 func uuidAt(at time.Time) string {
 	ms := at.UnixMilli()
 	return fmt.Sprintf("%08x-%04x-7000-8000-000000000000", ms>>16, ms&0xffff)
 }
 
-// BenchmarkAppend gives the slope of claims per batch for docs/CAPACITY.md.
+// BenchmarkAppend measures the time per batch for several numbers of claims; docs/CAPACITY.md
+// uses the increase per claim.
 func BenchmarkAppend(b *testing.B) {
 	for _, n := range []int{1, 8, 64} {
 		b.Run(fmt.Sprintf("batch=%d", n), func(b *testing.B) {
