--- a/internal/ledger/shard.go
+++ b/internal/ledger/shard.go
@@ -59,7 +59,7 @@
 	store       objectapi.Store
 	opts        Options
 	now         func() time.Time
-	loaded      bool
+	loaded      bool   // the view is valid; otherwise it must be loaded before the next append
 	seq         uint64 // number of the last log object applied
 	snapshotSeq uint64 // number up to which the last known snapshot covers the log
 	// verifiedSeq is the number up to which the view certainly equals the log. Objects above it
--- a/internal/ledger/shard_test.go
+++ b/internal/ledger/shard_test.go
@@ -23,7 +23,7 @@
 	t             *rapid.T
 	store         *platformfake.Store
 	daemons       []*shard
-	depth         int
+	depth         int // of nested operations
 	claimCount    int
 	delayedWrites []func()
 	// granted holds, by key, the attempt that may be dispatched and is not settled as not run.
