--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -11,28 +11,28 @@
 	"github.com/juju/errors"
 )
 
-// ErrRefused: the engine answered and refused the order; it did not apply it.
+// ErrRefused means that the engine rejected the order and did not apply it.
 const ErrRefused = errors.ConstError("engine: order refused")
 
-// Controller probes and orders engines. An error other than ErrRefused from
-// Order means that the order may have been applied; a probe decides.
+// Controller reads the status of engines and sends them orders. After an error other than
+// ErrRefused from Order, the order may have been applied; Status shows whether it was.
 type Controller interface {
 	Status(ctx context.Context, address string) (Status, error)
 	Order(ctx context.Context, address string, order Order) error
 }
 
-// Client is the Controller over HTTP.
+// Client implements Controller over HTTP.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a controller whose calls take at most timeout.
+// NewClient returns a client with the given timeout per call.
 func NewClient(timeout time.Duration) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}
 	return &Client{http: &http.Client{Transport: transport, Timeout: timeout}}
 }
 
-// maxStatusBytes bounds an engine's answer to a control call.
+// maxStatusBytes limits how much of an engine's response to a control call is read.
 const maxStatusBytes = 64 << 10
 
 // Status implements Controller.
@@ -48,7 +48,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return status, errors.Errorf("engine status answered %d", resp.StatusCode)
+		return status, errors.Errorf("GET %s returned HTTP status %d", PathStatus, resp.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&status)
 	return status, errors.Trace(err)
@@ -76,5 +76,5 @@
 	case http.StatusConflict:
 		return ErrRefused
 	}
-	return errors.Errorf("engine order answered %d", resp.StatusCode)
+	return errors.Errorf("POST %s returned HTTP status %d", PathOrder, resp.StatusCode)
 }
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -1,8 +1,8 @@
-// Package engine is the client side of the model engines' control protocol:
-// status probes and orders. The stand-in engine serves the same messages.
+// Package engine contains the messages and the client of the model engines' control protocol:
+// status probes and orders. The fake engine serves the same messages.
 package engine
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State string
 
 // Engine states.
@@ -12,32 +12,34 @@
 	StateReady   State = "ready"
 )
 
-// Weights names what an engine has loaded: a model at a version.
+// Weights identifies model weights by model and version.
 type Weights struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// Assignment binds one VM to one rank of one epoch of a group.
+// Assignment assigns a VM to a rank of a group at one epoch of that group.
 type Assignment struct {
 	Group   string   `json:"group"`
 	Epoch   uint64   `json:"epoch"`
 	Rank    int      `json:"rank"`
 	Members []string `json:"members"` // addresses by rank
 	Weights Weights  `json:"weights"`
-	// WeightMB is the size to fetch from the weight store when not loaded.
+	// WeightMB is the size in MB of the weights that are fetched from the weight store if they
+	// are not loaded.
 	WeightMB int `json:"weight_mb"`
 }
 
-// Order tells an engine its desired assignment; nil releases it. Orders are
-// idempotent. Fence grows with each order's authority; some engines refuse an
-// order with a lower fence than one they have seen, others ignore it.
+// Order sets the desired assignment of an engine; a nil Assignment releases the engine. Orders
+// are idempotent. Fence is a fencing token that increases with the version that the order is
+// based on. Some engines refuse an order with a lower fence than one they have seen, others
+// ignore the fence.
 type Order struct {
 	Fence      uint64      `json:"fence"`
 	Assignment *Assignment `json:"assignment"`
 }
 
-// Status is an engine's answer to a probe. BootID changes with each start.
+// Status is an engine's response to a status probe. BootID changes with each start of the engine.
 type Status struct {
 	VM         string      `json:"vm"`
 	BootID     string      `json:"boot_id"`
@@ -56,8 +58,8 @@
 	HeaderGroup     = "X-Engine-Group"
 	HeaderEpoch     = "X-Engine-Epoch"
 	HeaderPriority  = "X-Engine-Priority"
-	HeaderResume    = "X-Engine-Resume-From" // tokens the caller has already
-	HeaderNotRun    = "X-Engine-Not-Run"     // "true" on a refusal before any work
+	HeaderResume    = "X-Engine-Resume-From" // number of tokens that the caller already has
+	HeaderNotRun    = "X-Engine-Not-Run"     // "true" if the request was refused before it ran
 )
 
 // Paths of the control protocol.
@@ -68,8 +70,8 @@
 	PathEvents = "/engine/cache-events"
 )
 
-// CacheEvent tells that a prompt prefix entered or left an engine's cache.
-// Events come late and with gaps in Seq.
+// CacheEvent reports that a prompt prefix was added to or evicted from an engine's cache. Events
+// may be delayed, and Seq may have gaps.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Prefix  uint64 `json:"prefix"`
