--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,6 +1,5 @@
-// Package problem is what callers and operators get instead of an answer:
-// RFC 9457 problem details with a stable code, whether the request may have run,
-// and when to come back.
+// Package problem implements the error responses to callers and operators: RFC 9457 problem
+// details with a stable code, whether the request may have run, and when to retry.
 package problem
 
 import (
@@ -12,19 +11,19 @@
 	"time"
 )
 
-// Outcome says whether a refused request may have run.
+// Outcome states whether a refused request may have run.
 type Outcome string
 
-// Outcomes.
+// Outcomes of a refused request.
 const (
 	NotRun     Outcome = "not_run"
 	MayHaveRun Outcome = "may_have_run"
 )
 
-// Code is the stable name of a refusal; docs/operations/refusals.md lists all.
+// Code is the stable identifier of a problem; docs/operations/refusals.md lists all codes.
 type Code string
 
-// Codes.
+// Codes of the problems that callers and operators receive.
 const (
 	CodeUnauthorized      Code = "unauthorized"
 	CodeForbidden         Code = "forbidden"
@@ -55,10 +54,10 @@
 	CodeUnknownWrite      Code = "write_outcome_unknown"
 )
 
-// ContentType of problem details.
+// ContentType is the media type of problem details.
 const ContentType = "application/problem+json"
 
-// Problem is one refusal. It is an error.
+// Problem is an error response with problem details. It implements error.
 type Problem struct {
 	Type       string        `json:"type"`
 	Title      string        `json:"title"`
@@ -67,11 +66,12 @@
 	Code       Code          `json:"code"`
 	Outcome    Outcome       `json:"outcome"`
 	RequestID  string        `json:"request_id,omitempty"`
-	RetryAfter time.Duration `json:"-"` // 0: coming back does not help by itself
+	RetryAfter time.Duration `json:"-"` // 0 if a retry alone does not help
 	Extra      any           `json:"extra,omitempty"`
 }
 
-// New returns a refusal of a request that was not run.
+// New returns a problem for a request that has not run. The detail is formatted from format and
+// args.
 func New(status int, code Code, format string, args ...any) *Problem {
 	return &Problem{
 		Type: "urn:pearlanding:problem:" + string(code), Title: http.StatusText(status), Status: status,
@@ -79,19 +79,19 @@
 	}
 }
 
-// After sets when to come back.
+// After sets RetryAfter and returns p.
 func (p *Problem) After(d time.Duration) *Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// MayRun marks the request as one that may have run.
+// MayRun marks the request as one that may have run, and returns p.
 func (p *Problem) MayRun() *Problem {
 	p.Outcome = MayHaveRun
 	return p
 }
 
-// With attaches a machine-readable detail.
+// With sets Extra, a detail that is encoded as JSON, and returns p.
 func (p *Problem) With(extra any) *Problem {
 	p.Extra = extra
 	return p
@@ -100,7 +100,7 @@
 // Error implements error.
 func (p *Problem) Error() string { return fmt.Sprintf("%s (%s): %s", p.Code, p.Outcome, p.Detail) }
 
-// Body is the JSON form.
+// Body returns the problem as JSON.
 func (p *Problem) Body() []byte {
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return data
 }
 
-// RetryAfterSeconds is the value of the Retry-After header, "" for none.
+// RetryAfterSeconds returns the value of the Retry-After header, or "" if there is none.
 func (p *Problem) RetryAfterSeconds() string {
 	if p.RetryAfter <= 0 {
 		return ""
