--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -367,8 +367,8 @@
 		NewConnection: !x.route.Repeatable(),
 		Header: x.gateway.Codec.Header(x.req, Send{Instance: t.Instance, Remaining: x.deadline.Sub(now),
 			Workspace: x.workspace, LastEvent: lastEvent, Urgency: x.urgency(now)}),
-		Withhold: x.withholdFunc(t),
-		IsOwnResponse:      func(status int, h http.Header) bool { return x.gateway.Codec.AnswersTo(x.req.ID, status, h) },
+		Withhold:      x.withholdFunc(t),
+		IsOwnResponse: func(status int, h http.Header) bool { return x.gateway.Codec.AnswersTo(x.req.ID, status, h) },
 	}
 	x.watchedSend = x.gateway.Watch.Begin(quarantine.Life{Instance: t.Instance, Born: t.Born}, t.Address, x.workspace, x.digest, onQuarantine)
 	resp, err := x.gateway.Pool.Do(ctx, call)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -23,7 +23,7 @@
 const stallCheckInterval = 50 * time.Millisecond
 
 // errStalled is the cause of a send that is canceled because its stream stalled and another
-// replica can continue it.
+// replica can continue it. Tools that read saved logs match "stands still".
 const errStalled = errors.ConstError("gateway: stream stands still")
 
 // serveStream passes events on as they arrive. A stream that stalls or breaks continues at
