--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -22,7 +22,7 @@
 // to the signals they announced: limits, backoffs and departures.
 func (g *Gateway) sendableTargets(list *targetList) []dispatch.Target {
 	now := g.Clock.Now()
-	targets, gateVersion := list.at(now), g.Gate.Version()
+	targets, gateVersion := list.validAt(now), g.Gate.Version()
 	if list.noSignalsVersion.Load() == gateVersion+1 {
 		return targets
 	}
@@ -63,9 +63,9 @@
 	g.Gate.Observe(incarnationOf(t), signals, sentAt, g.Clock.Now())
 }
 
-// nextSend returns when the request can be sent if the announced signals of all untried
-// instances hold it back now. It returns the zero value if one of them accepts it now, or if
-// the targets are not known.
+// nextSend returns when the first of the untried instances accepts the request, if none does
+// now because of the signals they announced. It returns the zero value if one accepts the
+// request now, or if the targets are not known.
 func (x *exchange) nextSend() backpressure.Free {
 	list := x.gateway.targetList(x.gateway.View(), x.service, x.req.Model)
 	if list == nil {
@@ -73,7 +73,7 @@
 	}
 	now := x.gateway.Clock.Now()
 	var incarnations []backpressure.Life
-	for _, t := range list.at(now) {
+	for _, t := range list.validAt(now) {
 		if x.triedInstances[t.Instance] {
 			continue
 		}
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -19,7 +19,7 @@
 
 // newGate returns a gate without any signals.
 func newGate() *backpressure.Gate {
-	minWait := func(least, _ time.Duration) time.Duration { return least }
+	minWait := func(minimum, _ time.Duration) time.Duration { return minimum }
 	return backpressure.NewGate(func() int { return 1 }, minWait, zap.NewNop())
 }
 
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -18,7 +18,8 @@
 	rule := dispatch.BudgetRule{Ratio: 1, Window: 10 * time.Second}
 	taken := 0
 	var x *exchange
-	otherLoad := func(int) int {
+	// The picker calls its random number function while it chooses the target.
+	takeAsOtherRequest := func(int) int {
 		if x.budget().Repeat(rule, time.Now()) {
 			taken++
 		}
@@ -30,7 +31,7 @@
 	}
 	view := fleet.Build(1, time.Now(), instances, nil, nil)
 	x = &exchange{
-		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", otherLoad), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
+		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", takeAsOtherRequest), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}
 	now := time.Now()
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -26,7 +26,8 @@
 	buf []byte
 }
 
-// maxEventBytes limits the size of one event.
+// maxEventBytes is the size of an event from which on a line that exceeds the read buffer is an
+// error, bufio.ErrBufferFull. Shorter lines are accepted in an event of any size.
 const maxEventBytes = 1 << 20
 
 func newEventReader(body io.Reader) *eventReader {
@@ -34,7 +35,8 @@
 }
 
 // next returns the next complete event. The error is io.EOF if the stream ended between
-// events and errPartialEvent if it ended inside one.
+// events, errPartialEvent if it ended inside one, and bufio.ErrBufferFull if an event is too
+// large.
 func (r *eventReader) next() (event, error) {
 	r.buf = r.buf[:0]
 	var ev event
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -77,7 +77,7 @@
 			n += len(ev.raw)
 		}
 		if n > len(text) {
-			t.Fatalf("events of %d bytes from a stream of %d", n, len(text))
+			t.Fatal("the events have more bytes than their stream")
 		}
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,11 +37,14 @@
 	return c.Table.Config.Version
 }
 
-// Bounds holds the maximum ages of the proof that the configuration is current, and the rule
-// for retries. A zero duration sets no maximum.
+// Bounds holds the limits on the age of the proof that the configuration is current, and the
+// rule of the retry budgets. A zero duration sets no limit.
 type Bounds struct {
-	Revoke time.Duration       // maximum age of the proof to run a request that carries a key
-	Config time.Duration       // maximum age of the proof to reject an unknown route or key as such
+	// Requests that need a key run only while the proof is younger than Revoke.
+	Revoke time.Duration
+	// Unknown routes and keys get 404 and 401 only while the proof is not older than Config;
+	// after that they get 503.
+	Config time.Duration
 	Retry  dispatch.BudgetRule // of each service's retry budget
 }
 
@@ -60,7 +63,8 @@
 	Budgets  *dispatch.Budgets
 	// Gate tracks the rate limits, backoffs and departures that instances announce.
 	Gate *backpressure.Gate
-	// Watch tracks requests that crash instances; their contents are refused.
+	// Watch tracks which requests crash instances. Later requests with the same content are
+	// refused.
 	Watch *quarantine.Watch
 	// Clock is the time source; nil means the system clock.
 	Clock *steady.Clock
@@ -133,7 +137,7 @@
 	w              http.ResponseWriter
 	req            *Request
 	arrivedAt      time.Time
-	priorWait      time.Duration // minimum time that the caller waited in earlier attempts
+	priorWait      time.Duration // lower bound of how long the caller waited before this attempt arrived
 	config         Config
 	route          *routes.Route
 	service        *routes.Service
@@ -144,7 +148,7 @@
 	sends          []sendLog
 	digest         func() quarantine.Digest // of the content, computed on first use; safe for concurrent use
 	attempts       dispatch.Attempts
-	hasPermit      bool                             // a permit of the chosen target was taken, because its instance limits its requests
+	hasPermit      bool                             // the chosen target has a rate limit, and the request holds one of its permits
 	reservedRetry  atomic.Pointer[retryReservation] // for the next send
 	mayHaveRun     bool                             // an instance may have run the request
 	brokenSends    int                              // sends whose connection ended before a complete response
@@ -278,7 +282,8 @@
 		return nil
 	}
 	now := x.gateway.Clock.Now()
-	if !now.Before(x.deadline) { // the context's timer does not run while the machine is suspended
+	// ctx may end too late, because timers do not run while the machine is suspended.
+	if !now.Before(x.deadline) {
 		x.setReason("deadline")
 		return nil
 	}
@@ -303,8 +308,8 @@
 	return t
 }
 
-// pickTarget returns a target, after taking a permit if its instance limits its requests, or
-// nil if there is none.
+// pickTarget returns a target, or nil if there is none. If the target's instance has a rate
+// limit, the request then holds one of its permits.
 func (x *exchange) pickTarget() *dispatch.Target {
 	for {
 		t := x.gateway.Picker.Pick(x.targets(), x.triedInstances, x.gateway.runClockNow())
@@ -353,7 +358,7 @@
 }
 
 // send sends the request to a target once. onQuarantine is called if the request's content is
-// quarantined before the first event is received.
+// quarantined while no event of the response has been received.
 func (x *exchange) send(ctx context.Context, t *dispatch.Target, lastEvent string, onQuarantine func()) (*http.Response, error) {
 	if x.triedInstances == nil {
 		x.triedInstances = map[string]bool{}
@@ -384,7 +389,7 @@
 }
 
 // urgency returns the urgency of a send now. It is always InTime for requests that are not
-// streams, so that they do not queue behind others.
+// streams, so that only resumed streams go before them.
 func (x *exchange) urgency(now time.Time) dispatch.Urgency {
 	if x.route.Kind != routes.Stream {
 		return dispatch.InTime
@@ -397,10 +402,10 @@
 		Begun: x.eventCount > 0, First: x.priorWait + x.firstByteAfter, Pause: maxGap}.Urgency()
 }
 
-// recordEnd records how the last send ended, for the log.
-func (x *exchange) recordEnd(how string) {
+// recordEnd records the outcome of the last send, for the log.
+func (x *exchange) recordEnd(outcome string) {
 	s := &x.sends[len(x.sends)-1]
-	s.outcome, s.took = how, x.gateway.Clock.Since(x.arrivedAt)-s.startedAfter
+	s.outcome, s.took = outcome, x.gateway.Clock.Since(x.arrivedAt)-s.startedAfter
 }
 
 // setReason records why the request ended as it did, unless an earlier reason is set.
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -15,7 +15,7 @@
 // maxAnswerBytes limits the body of a plain response.
 const maxAnswerBytes = 16 << 20
 
-// errTooSlow is the cause of a send that is canceled because another target may be quicker.
+// errTooSlow is the cause with which a send is canceled because another target may be quicker.
 const errTooSlow = errors.ConstError("gateway: no response in time, trying another target")
 
 // servePlain sends a request, with retries if the route allows them, and passes the complete
@@ -34,7 +34,7 @@
 			return
 		}
 		if ctx.Err() != nil {
-			x.timedOut(ctx)
+			x.failOnContextEnd(ctx)
 			return
 		}
 	}
@@ -70,8 +70,8 @@
 	return x.passResponse(t, resp, body)
 }
 
-// plainSendFailed records a send without a complete response. It returns true if the caller
-// has been answered, because the request must not be sent again.
+// plainSendFailed records a send without a complete response. It returns true if the request
+// must not be sent again; the caller has been answered then.
 func (x *exchange) plainSendFailed(attempt context.Context, t *dispatch.Target, err error) bool {
 	x.recordEnd(endCause(attempt, err))
 	if !errors.Is(err, upstream.ErrWithheld) && (attempt.Err() == nil || errors.Is(context.Cause(attempt), errTooSlow)) {
@@ -106,8 +106,8 @@
 	return err.Error()
 }
 
-// passResponse decides about a complete response. It returns true if it passed the response
-// on to the caller, and false if the request should be sent again.
+// passResponse passes a complete response on to the caller and returns true. It returns false
+// if the request must be sent to another target instead.
 func (x *exchange) passResponse(t *dispatch.Target, resp *http.Response, body []byte) bool {
 	codec := x.gateway.Codec
 	if codec.NotRun(resp.StatusCode, resp.Header) {
@@ -164,8 +164,9 @@
 	return false
 }
 
-// timedOut ends a request whose deadline has passed or whose caller disconnected.
-func (x *exchange) timedOut(ctx context.Context) {
+// failOnContextEnd ends a request whose context has ended, because its deadline passed or its
+// caller disconnected.
+func (x *exchange) failOnContextEnd(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		x.setReason("caller_left")
 		markAborted(x)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -18,7 +18,7 @@
 	ID           string // of this attempt by the caller
 	Method       string
 	Host         string
-	Path         string // for matching
+	Path         string // for matching the route
 	Target       string // verbatim from the request line
 	Header       http.Header
 	Body         []byte
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// servedSampling is the sampling of the request log: one in servedSampling requests served at
-// the first try is logged, and every other request.
+// servedSampling is the sampling rate of the request log: of the requests served at the first
+// try, one in servedSampling is logged. All other requests are logged.
 const servedSampling = 16
 
 // finish logs and counts a request, and closes the caller's connection if the request was
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -30,8 +30,8 @@
 	return false
 }
 
-// failUnanswered responds to a request that no instance answered: 503 only if the request
-// certainly has not run, otherwise 502, or 504 once the deadline has passed.
+// failUnanswered responds to a request that no instance answered. The status is 503 only if the
+// request certainly has not run, and otherwise 502, or 504 once the deadline has passed.
 func (x *exchange) failUnanswered(reason string) {
 	switch {
 	case !x.mayHaveRun && x.gateway.View() == nil:
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -20,7 +20,8 @@
 // Guards against requests that are refused with "no_configuration" because the daemon accepts
 // them some milliseconds before it has read its configuration. After a power loss of all
 // machines, 119 requests were refused in the second in which seven daemons started, and 3,065
-// with 295 daemons, within 0.1 s after each start; most retries hit daemons in the same state.
+// when 295 daemons started. The refusals came within 0.1 s after the start of a daemon, and most
+// of the callers retried at a daemon in the same state.
 func TestRequestDuringStartIsHeldUntilConfigurationIsKnown(t *testing.T) {
 	var configKnown atomic.Bool
 	table := routes.Compile(&routes.Config{Version: 1})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -22,7 +22,7 @@
 // stallCheckInterval is how often the replica of a silent stream is checked.
 const stallCheckInterval = 50 * time.Millisecond
 
-// errStalled is the cause of a send that is canceled because its stream stalled and another
+// errStalled is the cause with which a send is canceled because its stream stalled and another
 // replica can continue it. Tools that read saved logs match "stands still".
 const errStalled = errors.ConstError("gateway: stream stands still")
 
@@ -51,7 +51,7 @@
 			return
 		}
 		if ctx.Err() != nil {
-			x.timedOut(ctx)
+			x.failOnContextEnd(ctx)
 			return
 		}
 		if x.mayHaveRun && !x.route.Repeatable() {
@@ -116,7 +116,8 @@
 	timer := &stallTimer{}
 	timer.lastActivity.Store(sentAt)
 	if !x.route.Repeatable() || x.attempts.Last(x.route.Attempts) {
-		timer.timer = time.AfterFunc(time.Hour, func() {}) // no other send is allowed, so never cancel
+		// A stall never cancels this send, because the route allows no other send after it.
+		timer.timer = time.AfterFunc(time.Hour, func() {})
 		return timer
 	}
 	otherReplicaReady, picker := x.otherReplicaFunc(t), x.gateway.Picker
@@ -129,8 +130,8 @@
 		if sinceEvent := now.Sub(timer.lastActivity.Load()); sinceEvent < limit {
 			return limit - sinceEvent // the timer also ran while this process was not scheduled
 		}
-		silent := dispatch.Silence{Begun: events > 0, Waited: now.Sub(sentAt), Patience: timeouts.First, Replica: picker.Health(t, now)}
-		if !silent.Move() || !otherReplicaReady() || !x.reserveRetry(ctx) {
+		silence := dispatch.Silence{Begun: events > 0, Waited: now.Sub(sentAt), Patience: timeouts.First, Replica: picker.Health(t, now)}
+		if !silence.Move() || !otherReplicaReady() || !x.reserveRetry(ctx) {
 			return stallCheckInterval
 		}
 		if timer.events.Load() != events {
@@ -185,7 +186,7 @@
 // returns, until that is 0. It also counts the events of the send that it watches.
 type stallTimer struct {
 	events       atomic.Int64 // received
-	lastActivity steady.Time  // when the last event was received, or else the request was sent; by RunClock
+	lastActivity steady.Time  // when the last event was received or, before the first one, the request was sent; by RunClock
 	mu           sync.Mutex
 	timer        *time.Timer
 	stopped      bool
@@ -223,12 +224,12 @@
 // eventCopy is the state of passing on the events of one send.
 type eventCopy struct {
 	sentAt       time.Time
-	stallTimeout time.Duration // between two events
+	stallTimeout time.Duration // silence after an event that counts as a stall
 	timer        *stallTimer
 }
 
-// copyEvents passes the events of one response on to the caller, except those that it already
-// has. It returns nil if the stream is complete.
+// copyEvents passes the events of one response on to the caller, except those that the caller
+// already has. It returns nil if the stream is complete.
 func (x *exchange) copyEvents(t *dispatch.Target, resp *http.Response, c eventCopy) error {
 	reader := newEventReader(resp.Body)
 	flusher, ok := x.w.(http.Flusher)
--- a/internal/gateway/targets.go
+++ b/internal/gateway/targets.go
@@ -29,8 +29,8 @@
 	return g.sendableTargets(list)
 }
 
-// targetList returns the targets that the view contains, whatever their instances announced
-// since, or nil if there is no view. The list is built once per view.
+// targetList returns the targets that the view contains, without regard to the signals that
+// their instances announced, or nil if there is no view. The list is built once per view.
 func (g *Gateway) targetList(v *fleet.View, service *routes.Service, model string) *targetList {
 	if v == nil {
 		return nil
@@ -78,11 +78,12 @@
 // targetList holds the targets of a service and model in one view.
 type targetList struct {
 	targets []dispatch.Target
-	// graceEnd is until when a group's head whose entry has lapsed may still be sent requests, by
-	// instance. nil if there is no such head.
+	// graceEnd is when the grace period ends in which a group's head may still be sent requests
+	// although its entry has lapsed, by instance. nil if there is no such head.
 	graceEnd map[string]time.Time
 	// noSignalsVersion is 1 plus the gate's version at which no signal of any target was known,
-	// so that the targets need not be checked again at that version. 0 if there is none.
+	// so that the targets need not be checked again at that version. 0 if there has been no
+	// such version.
 	noSignalsVersion atomic.Uint64
 }
 
@@ -95,10 +96,10 @@
 	}
 }
 
-// at returns the targets that may be sent requests at the given time, without heads whose
-// grace period has ended since the view was built. The loop that builds the next view is late
-// on a busy machine and does not run on a suspended one.
-func (l *targetList) at(now time.Time) []dispatch.Target {
+// validAt returns the targets that may be sent requests at the given time: all but the heads
+// whose grace period has ended since the view was built. A view can be that old because the loop
+// that builds the next one is late on a busy machine and does not run on a suspended one.
+func (l *targetList) validAt(now time.Time) []dispatch.Target {
 	expired := func(t dispatch.Target) bool {
 		graceEnd, hasGrace := l.graceEnd[t.Instance]
 		return hasGrace && !now.Before(graceEnd)
--- a/internal/gateway/targets_bench_test.go
+++ b/internal/gateway/targets_bench_test.go
@@ -43,7 +43,7 @@
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(listTargets(v, benchEngines, "m0").at(time.Time{})) == 0 {
+				if len(listTargets(v, benchEngines, "m0").validAt(time.Time{})) == 0 {
 					b.Fatal("no target")
 				}
 			}
--- a/internal/gateway/targets_test.go
+++ b/internal/gateway/targets_test.go
@@ -30,7 +30,7 @@
 	view.Groups[fleet.Key{Name: "pair", Epoch: 2}].Size = replicaSize("s", "m")
 	service := &routes.Service{Name: "s", Engine: &routes.Engine{}}
 	ids := func(at time.Time) (out []string) {
-		for _, target := range listTargets(view, service, "m").at(at) {
+		for _, target := range listTargets(view, service, "m").validAt(at) {
 			out = append(out, target.Instance)
 		}
 		return out
--- a/internal/gateway/unreadheaders.go
+++ b/internal/gateway/unreadheaders.go
@@ -13,7 +13,7 @@
 const (
 	// maxUpstreamLabels is the number of distinct texts; further ones count as "other".
 	maxUpstreamLabels = 32
-	// maxUpstreamLabelBytes is the length to which a text is cut.
+	// maxUpstreamLabelBytes is the length to which a text is truncated.
 	maxUpstreamLabelBytes = 100
 )
 
