--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -76,7 +76,7 @@
 }
 
 // maxForeignResponses is how many responses to other requests are skipped before the connection
-// is closed.
+// is closed. Interim responses (1xx) count as well.
 const maxForeignResponses = 2
 
 // maxForeignBodyBytes limits the body of a skipped response.
@@ -93,8 +93,8 @@
 const ErrWithheld = errors.ConstError("upstream: request withheld")
 
 // NewPool returns an empty pool with the given MaxConnectTime and MaxIdleTime.
-func NewPool(connect, maxIdle time.Duration) *Pool {
-	return &Pool{MaxConnectTime: connect, MaxIdleTime: maxIdle, dialer: link.Dialer(0).DialContext, idleConns: map[string][]*pooledConn{}, openCount: map[string]int{}}
+func NewPool(maxConnectTime, maxIdleTime time.Duration) *Pool {
+	return &Pool{MaxConnectTime: maxConnectTime, MaxIdleTime: maxIdleTime, dialer: link.Dialer(0).DialContext, idleConns: map[string][]*pooledConn{}, openCount: map[string]int{}}
 }
 
 // Opened returns how many connections have been opened so far, including failed attempts.
