--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -63,8 +63,8 @@
 	err     error
 }
 
-// maxBatchBytes limits the records of one log object. A batch stays below the platform's value
-// limit even if a record of maximum size exceeds this limit.
+// maxBatchBytes is the size at which no further record is added to a log object. Even if the
+// last record has the maximum size, the batch stays below the platform's value limit.
 const maxBatchBytes = 256 << 10
 
 // queueLength is how many callers may wait for a shard; more are refused at once.
@@ -124,8 +124,8 @@
 }
 
 // appendBatch appends the records of the waiting callers in one write and sends each its result.
-// It leaves out records whose caller's context has ended, and claims of new keys if the shard is
-// full.
+// It leaves out the records of callers whose context has ended and, if the shard is full, single
+// claims of new keys.
 func (l *Ledger) appendBatch(ctx context.Context, s *shard, waiting []*pending) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.Timeout)
 	defer cancel()
@@ -175,7 +175,7 @@
 
 // AppendHere writes records of one shard from this daemon, without the Forwarder, and returns
 // the entry of each record's key once they are durable. After an error the records may or may not
-// be written, and no request may be sent on their account. The error is ErrFull if the shard is
+// be written, and the caller must not dispatch their attempts. The error is ErrFull if the shard is
 // full, and ErrUnavailable if the platform can't be written or the queue is full.
 func (l *Ledger) AppendHere(ctx context.Context, id int, records []Record) ([]Entry, error) {
 	if id < 0 || id >= len(l.queues) {
--- a/internal/ledger/shard.go
+++ b/internal/ledger/shard.go
@@ -176,7 +176,8 @@
 func (s *shard) readBack(ctx context.Context, b batch, next uint64) (bool, error) {
 	obj, err := s.store.Get(ctx, logKey(s.id, next))
 	if errors.Is(err, objectapi.ErrNotFound) {
-		// Compacted meanwhile, or this daemon's write has not arrived yet: load and try again.
+		// The object was compacted meanwhile, or this daemon's write has not taken effect yet.
+		// Load the shard and try again.
 		s.loaded = false
 		return false, errors.Trace(ctx.Err())
 	}
