--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -48,7 +48,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return status, errors.Errorf("GET %s returned HTTP status %d", PathStatus, resp.StatusCode)
+		return status, errors.Errorf("engine status probe returned HTTP status %d", resp.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&status)
 	return status, errors.Trace(err)
@@ -76,5 +76,5 @@
 	case http.StatusConflict:
 		return ErrRefused
 	}
-	return errors.Errorf("POST %s returned HTTP status %d", PathOrder, resp.StatusCode)
+	return errors.Errorf("engine order returned HTTP status %d", resp.StatusCode)
 }
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -31,9 +31,9 @@
 }
 
 // Order sets the desired assignment of an engine; a nil Assignment releases the engine. Orders
-// are idempotent. Fence is a fencing token that increases with the version that the order is
-// based on. Some engines refuse an order with a lower fence than one they have seen, others
-// ignore the fence.
+// are idempotent. Fence is a fencing token: an order that is based on a newer version of the
+// stored state has a higher one. Some engines refuse an order with a lower fence than one they
+// have seen, others ignore the fence.
 type Order struct {
 	Fence      uint64      `json:"fence"`
 	Assignment *Assignment `json:"assignment"`
