--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -100,7 +100,8 @@
 // Error implements error.
 func (p *Problem) Error() string { return fmt.Sprintf("%s (%s): %s", p.Code, p.Outcome, p.Detail) }
 
-// Body returns the problem as JSON.
+// Body returns the problem as JSON. If Extra can't be encoded, it returns a fixed problem with
+// the code "internal".
 func (p *Problem) Body() []byte {
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -109,7 +110,8 @@
 	return data
 }
 
-// RetryAfterSeconds returns the value of the Retry-After header, or "" if there is none.
+// RetryAfterSeconds returns the value of the Retry-After header, rounded up to whole seconds, or
+// "" if there is none.
 func (p *Problem) RetryAfterSeconds() string {
 	if p.RetryAfter <= 0 {
 		return ""
