--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Build derives groups from instances.
-func Build(revision uint64, seen time.Time, instances map[string]*Instance, removed map[string]Gone, size SizeOf) *View {
-	return (&View{}).next(revision, seen, instances, removed, size)
+// Build returns the view of instances and removed instances that was proved at a time: it
+// derives their services and groups.
+func Build(revision uint64, provedAt time.Time, instances map[string]*Instance, removed map[string]Gone, size SizeOf) *View {
+	return (&View{}).next(revision, provedAt, instances, removed, size)
 }
 
-// next returns the view after v. It shares all lists and groups with v in which nothing changed,
-// so that its cost lies with what did: among thousands of instances some change several times a
-// second. The sizes of models must be those of v.
-func (v *View) next(revision uint64, seen time.Time, instances map[string]*Instance, removed map[string]Gone, size SizeOf) *View {
-	out := &View{Revision: revision, Seen: seen, Instances: instances, Removed: removed,
+// next returns the view after v. It shares all unchanged lists and groups with v, so that its
+// cost depends on the number of changes: among thousands of instances some change several times
+// a second. The sizes of models must be those of v.
+func (v *View) next(revision uint64, provedAt time.Time, instances map[string]*Instance, removed map[string]Gone, size SizeOf) *View {
+	out := &View{Revision: revision, Seen: provedAt, Instances: instances, Removed: removed,
 		Services: maps.Clone(v.Services), Groups: maps.Clone(v.Groups)}
 	if v.Services == nil {
 		out.Services, out.Groups = map[string][]*Instance{}, map[Key]*Group{}
 	}
-	c := v.changes(instances, removed)
+	c := v.diff(instances, removed)
 	for service := range c.services {
-		if list := c.list(service, v.Services[service]); len(list) > 0 {
+		if list := c.serviceList(service, v.Services[service]); len(list) > 0 {
 			out.Services[service] = list
 		} else {
 			delete(out.Services, service)
@@ -35,7 +36,7 @@
 		}
 	}
 	for key := range c.groups {
-		if g := c.group(key, v.Groups[key], size); g != nil {
+		if g := c.buildGroup(key, v.Groups[key], size); g != nil {
 			out.Groups[key] = g
 		} else {
 			delete(out.Groups, key)
@@ -44,28 +45,28 @@
 	return out
 }
 
-// changes is what differs between two views.
-type changes struct {
-	instances map[string]*Instance // of the later view
-	services  map[string]bool      // whose lists differ
-	groups    map[Key]bool         // that differ
-	arrived   map[string][]*Instance
-	joined    map[Key][]*Instance
-	lapsed    map[Key][]Gone
+// viewDiff is the difference between two views.
+type viewDiff struct {
+	instances map[string]*Instance   // of the later view
+	services  map[string]bool        // services whose lists differ
+	groups    map[Key]bool           // groups that differ
+	arrived   map[string][]*Instance // new or changed instances by service
+	joined    map[Key][]*Instance    // new or changed instances by group
+	lapsed    map[Key][]Gone         // lapsed members of groups that differ
 }
 
-// changes finds what differs between v and a view of other instances.
-func (v *View) changes(instances map[string]*Instance, removed map[string]Gone) *changes {
-	c := &changes{instances: instances, services: map[string]bool{}, groups: map[Key]bool{},
+// diff returns the difference between v and a view of other instances.
+func (v *View) diff(instances map[string]*Instance, removed map[string]Gone) *viewDiff {
+	c := &viewDiff{instances: instances, services: map[string]bool{}, groups: map[Key]bool{},
 		arrived: map[string][]*Instance{}, joined: map[Key][]*Instance{}, lapsed: map[Key][]Gone{}}
 	for id, in := range v.Instances {
 		if instances[id] != in {
-			c.touch(in)
+			c.markChanged(in)
 		}
 	}
 	for id, in := range instances {
 		if v.Instances[id] != in {
-			c.touch(in)
+			c.markChanged(in)
 			c.arrived[in.Service] = append(c.arrived[in.Service], in)
 			if in.Group.Name != "" {
 				c.joined[in.Group.Key()] = append(c.joined[in.Group.Key()], in)
@@ -77,7 +78,7 @@
 			c.groups[gone.Instance.Group.Key()] = true
 		}
 	}
-	for id, gone := range removed { // one that came and went since v is in no list of instances
+	for id, gone := range removed { // an instance added and removed since v is in neither instance map
 		if v.Removed[id] != gone {
 			c.groups[gone.Instance.Group.Key()] = true
 		}
@@ -85,16 +86,16 @@
 	return c
 }
 
-// touch marks the service and the group of an instance that changed.
-func (c *changes) touch(in *Instance) {
+// markChanged marks the service and the group of an instance as changed.
+func (c *viewDiff) markChanged(in *Instance) {
 	c.services[in.Service] = true
 	if in.Group.Name != "" {
 		c.groups[in.Group.Key()] = true
 	}
 }
 
-// stay returns those of a list that did not change, in its order.
-func (c *changes) stay(list []*Instance) []*Instance {
+// unchanged returns the instances of a list that did not change, in its order.
+func (c *viewDiff) unchanged(list []*Instance) []*Instance {
 	out := make([]*Instance, 0, len(list)+1)
 	for _, in := range list {
 		if c.instances[in.ID] == in {
@@ -104,25 +105,27 @@
 	return out
 }
 
-// list returns the instances of a service, ordered by id; before is the list that changed.
-func (c *changes) list(service string, before []*Instance) []*Instance {
+// serviceList returns the instances of a service, ordered by id; before is its list in the
+// earlier view.
+func (c *viewDiff) serviceList(service string, before []*Instance) []*Instance {
 	byID := func(a, b *Instance) int { return cmp.Compare(a.ID, b.ID) }
-	stay, arrived := c.stay(before), c.arrived[service]
+	unchanged, arrived := c.unchanged(before), c.arrived[service]
 	slices.SortFunc(arrived, byID)
-	out := make([]*Instance, 0, len(stay)+len(arrived))
+	out := make([]*Instance, 0, len(unchanged)+len(arrived))
 	for _, in := range arrived {
-		n, _ := slices.BinarySearchFunc(stay, in, byID)
-		out = append(append(out, stay[:n]...), in)
-		stay = stay[n:]
+		n, _ := slices.BinarySearchFunc(unchanged, in, byID)
+		out = append(append(out, unchanged[:n]...), in)
+		unchanged = unchanged[n:]
 	}
-	return append(out, stay...)
+	return append(out, unchanged...)
 }
 
-// group returns a group that changed, nil if no entry names it; before is what it was.
-func (c *changes) group(key Key, before *Group, size SizeOf) *Group {
+// buildGroup returns a group that changed, nil if no entry names it; before is the group in
+// the earlier view.
+func (c *viewDiff) buildGroup(key Key, before *Group, size SizeOf) *Group {
 	var members []*Instance
 	if before != nil {
-		members = c.stay(before.Members)
+		members = c.unchanged(before.Members)
 	}
 	members = append(members, c.joined[key]...)
 	if len(members) == 0 {
--- a/internal/fleet/build_test.go
+++ b/internal/fleet/build_test.go
@@ -12,8 +12,8 @@
 	_ "pearlanding/internal/fixedseed"
 )
 
-// A view that is made from the one before is the same as one that is made anew, whatever changed.
-func TestViewAfterChangesIsAsMadeAnew(t *testing.T) {
+// A view derived from the view before it equals a view built from scratch, whatever changed.
+func TestIncrementalViewEqualsFullBuild(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := NewBelief(heartbeat, func(_, model string) int { return map[string]int{"large": 3, "small": 2}[model] })
 		b.LeadsFor = time.Second
@@ -28,17 +28,17 @@
 				case 1:
 					b.Discard(id, version, now)
 				case 2:
-					b.Lost(now)
+					b.StoreFailed(now)
 				case 3:
-					b.Reached(now)
+					b.StoreAnswered(now)
 				default:
 					b.Put(drawInstance(r, id, version))
 				}
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond)
 			b.Expire(now)
-			anew := Build(b.revision, now, maps.Clone(b.instances), maps.Clone(b.removed), b.size)
-			must.Eq(r, anew, b.View(now))
+			rebuilt := Build(b.revision, now, maps.Clone(b.instances), maps.Clone(b.removed), b.size)
+			must.Eq(r, rebuilt, b.View(now))
 		}
 	})
 }
@@ -54,8 +54,9 @@
 	return in
 }
 
-// Instances change several times a second somewhere among thousands; what did not is shared.
-func TestGroupsThatDidNotChangeAreShared(t *testing.T) {
+// Among thousands of instances some change several times a second; unchanged groups are shared
+// between views.
+func TestUnchangedGroupsAreShared(t *testing.T) {
 	v := benchView(40)
 	instances := maps.Clone(v.Instances)
 	changed := *instances["i-00005"]
@@ -68,27 +69,27 @@
 	must.False(t, next.Groups[changed.Group.Key()].Serving())
 }
 
-// benchSize is how many instances a replica takes.
-const benchSize = 4
+// benchReplicaSize is the number of instances in a replica.
+const benchReplicaSize = 4
 
-func benchSizes(string, string) int { return benchSize }
+func benchSizes(string, string) int { return benchReplicaSize }
 
-// benchView is a view of so many instances, all in groups that serve.
+// benchView returns a view of the given number of instances, all in serving groups.
 func benchView(instances int) *View {
 	all := map[string]*Instance{}
 	for i := range instances {
 		id, state := fmt.Sprintf("i-%05d", i), Ready
-		if i%benchSize == 0 {
+		if i%benchReplicaSize == 0 {
 			state = Open
 		}
 		all[id] = &Instance{ID: id, Service: "engines", Models: []string{"m"},
-			Group: Membership{Name: fmt.Sprint("g", i/benchSize), Epoch: 1, Rank: i % benchSize, State: state}}
+			Group: Membership{Name: fmt.Sprint("g", i/benchReplicaSize), Epoch: 1, Rank: i % benchReplicaSize, State: state}}
 	}
 	return Build(1, start, all, nil, benchSizes)
 }
 
-// BenchmarkNext is what each news of instances costs a daemon, by how many there are and how
-// many of them changed.
+// BenchmarkNext measures the cost of one view after changes, by the numbers of instances and of
+// changed instances.
 func BenchmarkNext(b *testing.B) {
 	for _, instances := range []int{300, 3000, 8200} {
 		for _, changes := range []int{1, 100} {
@@ -108,7 +109,7 @@
 	}
 }
 
-// putPair puts the two members of a group.
+// putPair puts the two members of a group and returns its key.
 func putPair(b *Belief) Key {
 	for rank, id := range []string{"head", "member"} {
 		b.Put(&Instance{ID: id, Service: "s", Models: []string{"large"}, Version: 1, Group: Membership{Name: "g", Epoch: 1, Rank: rank, State: []GroupState{Open, Ready}[rank]}})
@@ -116,19 +117,19 @@
 	return Key{"g", 1}
 }
 
-// A lapsed member counts for a while only; no entry changes as that while ends.
-func TestLapsedMemberLeavesTheViewByTime(t *testing.T) {
+// A lapsed member stops counting when lapsedMemberTimeout ends, though no entry changes then.
+func TestLapsedMemberExpiresFromView(t *testing.T) {
 	b := NewBelief(heartbeat, sizes)
 	key := putPair(b)
 	b.Remove("member", start, start)
 	must.True(t, b.View(start).Groups[key].Serving())
-	later := start.Add(lapsedFor + 1)
+	later := start.Add(lapsedMemberTimeout + 1)
 	must.True(t, b.Expire(later))
 	must.False(t, b.View(later).Groups[key].Serving())
 }
 
-// A member whose entry came and went between two views is known by its removal only.
-func TestMemberThatCameAndWentCountsAsLapsed(t *testing.T) {
+// A member whose entry was added and removed between two views is known only by its removal.
+func TestMemberAddedAndRemovedBetweenViewsCountsAsLapsed(t *testing.T) {
 	b := NewBelief(heartbeat, sizes)
 	key := putPair(b)
 	member := b.instances["member"]
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is what a daemon believes of the instances behind it: where they
-// are, which groups they form, and which groups can serve. The belief is built
-// from the instances' own entries in the object store (Follower) and published
-// as an immutable View.
+// Package fleet keeps a daemon's known state of the instances behind it: their
+// addresses, the groups that they form, and which groups can serve. A Follower
+// watches the instances' own entries in the object store and publishes the known
+// state as an immutable View.
 package fleet
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// GroupState is the state of a group as one of its members tells it.
+// GroupState is the state of a group as one of its members reports it.
 type GroupState string
 
 // States of a group.
@@ -29,20 +29,21 @@
 	State GroupState
 }
 
-// Key identifies one assembly of a group.
+// Key identifies one assembly of a group: its name and epoch.
 type Key struct {
 	Name  string
 	Epoch uint64
 }
 
-// Key returns the group's identity.
+// Key returns the identity of the member's group.
 func (m Membership) Key() Key { return Key{m.Name, m.Epoch} }
 
-// Instance is one incarnation of an upstream process, as its own entry tells.
+// Instance is one incarnation of an upstream process, as its own entry describes it.
 type Instance struct {
 	ID string
-	// Born tells the lives of one id apart: the Unix millisecond of the start, by the
-	// instance's own clock; 0: not told. A life holds nothing of the one before.
+	// Born is the start of the process in Unix milliseconds by the instance's own clock; 0:
+	// not reported. It tells the incarnations of one id apart; an incarnation keeps nothing of
+	// the one before.
 	Born     int64
 	Service  string
 	Address  string // IP:port
@@ -50,17 +51,17 @@
 	Domain   string // fabric domain; empty for plain services
 	Draining bool
 	Slots    int
-	Models   []string // loaded
-	Staged   []string // on the host, fast to load
+	Models   []string // loaded models models
+	Staged   []string // models on the host's disk, fast to load
 	Group    Membership
 	// Version is the store's revision of the entry.
 	Version uint64
 }
 
-// HasStaged tells whether a model is on the instance's host.
+// HasStaged reports whether a model is on the instance's host.
 func (i *Instance) HasStaged(model string) bool { return slices.Contains(i.Staged, model) }
 
-// Group is one assembly of instances as the entries tell it.
+// Group is one assembly of instances, derived from their entries.
 type Group struct {
 	Key     Key
 	Service string
@@ -68,18 +69,18 @@
 	Zone    string
 	Head    *Instance // nil while no entry of rank 0 is known
 	Members []*Instance
-	// Lapsed are members whose entries went without a word and that may still serve.
+	// Lapsed holds members whose entries disappeared without a notice and that may still serve.
 	Lapsed []*Instance
-	Size   int // of the model; 0 while the model is unknown
+	Size   int // instances that a replica of the model takes; 0 while the model is unknown
 }
 
-// Complete tells whether every member of the group is known, ready and staying.
+// Complete reports whether every member of the group is known, ready and not draining.
 func (g *Group) Complete() bool {
-	return g.Size > 0 && len(g.Members) == g.Size && g.allStay()
+	return g.Size > 0 && len(g.Members) == g.Size && g.allMembersReady()
 }
 
-// allStay tells whether each member with an entry is ready and staying.
-func (g *Group) allStay() bool {
+// allMembersReady reports whether each member with an entry is ready and not draining.
+func (g *Group) allMembersReady() bool {
 	for _, m := range g.Members {
 		if m.Draining || m.Group.State == Joining || m.Group.State == Broken {
 			return false
@@ -88,42 +89,43 @@
 	return true
 }
 
-// Serving tells whether requests may be sent to the group's head. A member that was
+// Serving reports whether requests may be sent to the group's head. A member that was
 // ready and whose entry lapsed does not end the group: an instance cut off from the
-// store goes on serving, and its head's streams show whether it does.
+// store keeps serving, and the streams of the group's head show whether it does.
 func (g *Group) Serving() bool {
 	return g.Head != nil && g.Head.Group.State == Open && g.Size > 0 &&
-		len(g.Members)+len(g.Lapsed) == g.Size && g.allStay()
+		len(g.Members)+len(g.Lapsed) == g.Size && g.allMembersReady()
 }
 
-// View is all a daemon believes of the instances at one time. It is immutable.
+// View is everything that a daemon knows of the instances at one time. It is immutable.
 type View struct {
 	Revision  uint64
-	Seen      time.Time // when the last proof of this view was asked for
+	Seen      time.Time // when the call that last proved this view was sent
 	Instances map[string]*Instance
 	Services  map[string][]*Instance // by service, ordered by id
 	Groups    map[Key]*Group
-	// Removed is when an instance's entry went, for those that went lately.
+	// Removed holds the instances whose entries were removed in the last 60 s, by id.
 	Removed map[string]Gone
 }
 
-// Gone is an instance whose entry was removed.
+// Gone is an instance whose entry was removed, and when.
 type Gone struct {
 	Instance *Instance
 	At       time.Time
-	// Lapsed: it may still serve. It said nothing of leaving, was ready in its group, and
+	// Lapsed: the instance may still serve. It was ready in its group and not draining, and
 	// nothing has shown since that it is dead.
 	Lapsed bool
-	// Leads: it is a lapsed head that may be sent requests, until LeadsUntil.
+	// Leads: the instance is a lapsed head that may be sent requests, until LeadsUntil.
 	Leads      bool
 	LeadsUntil time.Time
 }
 
-// LeadsUntil tells until when a lapsed head may be sent requests; false: it is none.
+// LeadsUntil returns until when a lapsed head may be sent requests; lapsed is false if head
+// is not such a head.
 func (v *View) LeadsUntil(head *Instance) (until time.Time, lapsed bool) {
 	gone, removed := v.Removed[head.ID]
 	return gone.LeadsUntil, removed && gone.Leads
 }
 
-// SizeOf tells how many instances a replica of a model takes; 0: unknown.
+// SizeOf returns how many instances a replica of a model takes; 0: unknown.
 type SizeOf func(service, model string) int
--- a/internal/fleet/follower.go
+++ b/internal/fleet/follower.go
@@ -13,107 +13,106 @@
 	"pearlanding/internal/steady"
 )
 
-// Periods of following the instances' entries.
+// Times of following the instances' entries.
 const (
-	// followWait is how long one call waits for a change. While the store forgets
-	// its history a watch may hear nothing until it ends, so this bounds how long
+	// watchWait is how long one call waits for a change. While the store compacts
+	// its history a watch may receive nothing until it ends, so this bounds how long
 	// changes are missed.
-	followWait = 3 * time.Second
-	// ProveWait is the wait of a call that is only to prove what is known: after the first listing, as
-	// nothing is served before it, and after a call without an answer, as one that waits for
-	// changes would hide the store's return until there are some.
+	watchWait = 3 * time.Second
+	// ProveWait is the wait of a watch that is only to prove the known state: after the first
+	// listing, as nothing is served before the proof, and after a call without an answer, as a
+	// watch that waits for changes would hide the store's return until there are some.
 	ProveWait = time.Millisecond
-	// followPause follows each call that brought changes where nobody sets a pace,
-	// so that a burst of them costs one call and not one each.
-	followPause = 700 * time.Millisecond
-	// paceTick is how often the pace is asked for during a pause: it may become
-	// faster meanwhile.
-	paceTick = 200 * time.Millisecond
-	// retryPause follows a call that failed; it doubles with each further one up to
-	// retryMost, as hundreds of daemons ask a store that is down.
-	retryPause = 250 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	// expireTick is how often lapsed entries are looked at.
-	expireTick = 250 * time.Millisecond
+	// defaultUpdatePause is the pause after a call that brought changes where UpdatePause is
+	// not set, so that a burst of changes costs one call and not one each.
+	defaultUpdatePause = 700 * time.Millisecond
+	// pauseCheckInterval is how often the length of a pause is evaluated again during the
+	// pause, as it may become shorter meanwhile.
+	pauseCheckInterval = 200 * time.Millisecond
+	// minRetryBackoff is the backoff after a failed call; it doubles with each further failure
+	// up to maxRetryBackoff, as hundreds of daemons call a store that is down.
+	minRetryBackoff = 250 * time.Millisecond
+	maxRetryBackoff = 500 * time.Millisecond
+	// expireInterval is how often lapsed entries are checked.
+	expireInterval = 250 * time.Millisecond
 )
 
-// Decode reads an instance's entry. Its error says why the entry names no instance.
+// Decode decodes an instance's entry. Its error says why the entry describes no instance.
 type Decode func(id string, version uint64, value []byte) (*Instance, error)
 
-// Follower keeps the view of instances current. Run owns its state; View and
-// Changed may be used from anywhere.
+// Follower keeps the view of instances current. Run owns the known state; the other methods
+// are safe for concurrent use.
 type Follower struct {
 	Clock  *steady.Clock // nil: this machine's
 	Feed   objectapi.Feed
 	Kind   string // of the instances' entries
 	Decode Decode
 	Log    *zap.Logger
-	belief *Belief
+	state  *Belief
 	view   atomic.Pointer[View]
-	// Pace returns the pause after a call that brought changes; nil: followPause.
-	Pace   func() time.Duration
-	proved steady.Time // when the last call that succeeded was sent
-	change chan struct{}
-	sizes  chan struct{}
-	list   chan struct{}
+	// UpdatePause returns the pause after a call that brought changes; nil: defaultUpdatePause.
+	UpdatePause  func() time.Duration
+	provedAt     steady.Time // when the last call that succeeded was sent
+	changed      chan struct{}
+	sizesChanged chan struct{}
+	relist       chan struct{}
 }
 
-// NewFollower returns a follower of one kind of entries.
-func NewFollower(feed objectapi.Feed, kind string, decode Decode, belief *Belief, log *zap.Logger) *Follower {
-	return &Follower{Feed: feed, Kind: kind, Decode: decode, Log: log, belief: belief, change: make(chan struct{}, 1), sizes: make(chan struct{}, 1), list: make(chan struct{}, 1)}
+// NewFollower returns a follower of one kind of entries, which it keeps in state.
+func NewFollower(feed objectapi.Feed, kind string, decode Decode, state *Belief, log *zap.Logger) *Follower {
+	return &Follower{Feed: feed, Kind: kind, Decode: decode, Log: log, state: state, changed: make(chan struct{}, 1), sizesChanged: make(chan struct{}, 1), relist: make(chan struct{}, 1)}
 }
 
-// View returns the newest view, nil before the first listing.
+// View returns the newest view, nil before the first listing is proved.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Changed is signalled after the view changed. It has one receiver.
-func (f *Follower) Changed() <-chan struct{} { return f.change }
+// Changed returns a channel that receives a value after the view changed. It has one receiver.
+func (f *Follower) Changed() <-chan struct{} { return f.changed }
 
-// SizesChanged says that the sizes of models may have changed; the view is built
-// anew.
+// SizesChanged makes Run rebuild the view, as the sizes of models may have changed.
 func (f *Follower) SizesChanged() {
 	select {
-	case f.sizes <- struct{}{}:
+	case f.sizesChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Proved returns when the call was sent that last brought the view up to date.
-func (f *Follower) Proved() time.Time { return f.proved.Load() }
+// ProvedAt returns when the call that last brought the view up to date was sent.
+func (f *Follower) ProvedAt() time.Time { return f.provedAt.Load() }
 
-// Refresh asks for a whole listing now: unlike a watch it can't have missed
-// anything.
+// Refresh makes Run list all entries now: unlike a watch a listing cannot have missed
+// changes.
 func (f *Follower) Refresh() {
 	select {
-	case f.list <- struct{}{}:
+	case f.relist <- struct{}{}:
 	default:
 	}
 }
 
-// result is what one call brought.
-type result struct {
-	listing *objectapi.Listing
-	old     bool // the listing is as of some seconds ago: no view before it is followed up
-	changes objectapi.Changes
-	proved  time.Time // when the store was asked for it, at the latest
-	err     error
+// callResult is the result of one call to the store.
+type callResult struct {
+	listing  *objectapi.Listing
+	stale    bool // the listing may be some seconds old: no view is published before a watch proves it
+	changes  objectapi.Changes
+	provedAt time.Time // when the store was called for it, at the latest
+	err      error
 }
 
-// answered is when the store answered, at the latest: what came through another daemon
-// proves no more than that it was asked.
-func (r *result) answered(now time.Time) time.Time {
+// answeredAt returns when the store answered, at the latest: a result that came through
+// another daemon proves only when the store was called for it.
+func (r *callResult) answeredAt(now time.Time) time.Time {
 	if r.changes.Age != 0 {
-		return r.proved
+		return r.provedAt
 	}
 	return now
 }
 
-// Run follows until ctx ends.
+// Run keeps the view current until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	results := make(chan result)
+	results := make(chan callResult)
 	resume := make(chan uint64)
-	go f.call(ctx, results, resume)
-	tick := time.NewTicker(expireTick)
+	go f.followStore(ctx, results, resume)
+	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -121,18 +120,18 @@
 			return
 		case <-tick.C:
 			now := f.Clock.Now()
-			if f.belief.Expire(now) {
+			if f.state.Expire(now) {
 				f.publish(now)
 			}
-		case <-f.sizes:
-			f.belief.Resize()
+		case <-f.sizesChanged:
+			f.state.InvalidateView()
 			if v := f.View(); v != nil {
 				f.publish(v.Seen)
 			}
 		case r := <-results:
-			f.take(r, f.Clock.Now())
+			f.applyResult(r, f.Clock.Now())
 			select {
-			case resume <- f.belief.Revision():
+			case resume <- f.state.Revision():
 			case <-ctx.Done():
 				return
 			}
@@ -140,61 +139,61 @@
 	}
 }
 
-// take applies one result and publishes the view if it may have changed.
-func (f *Follower) take(r result, now time.Time) {
+// applyResult applies one result and publishes the view if it may have changed.
+func (f *Follower) applyResult(r callResult, now time.Time) {
 	if r.err != nil {
 		if !errors.Is(r.err, objectapi.ErrCompacted) {
-			f.belief.Lost(r.proved)
+			f.state.StoreFailed(r.provedAt)
 		}
-		f.Log.Warn("instances not followed", zap.String("decision", "keep_last_view"), zap.Uint64("revision", f.belief.Revision()), zap.Error(r.err))
+		f.Log.Warn("instances not followed", zap.String("decision", "keep_last_view"), zap.Uint64("revision", f.state.Revision()), zap.Error(r.err))
 		return
 	}
-	if !r.old {
-		f.belief.Reached(r.answered(now))
+	if !r.stale {
+		f.state.StoreAnswered(r.answeredAt(now))
 	}
 	if r.listing != nil {
-		f.replace(r.listing, now)
+		f.applyListing(r.listing, now)
 	}
 	for _, e := range r.changes.Events {
-		f.apply(e, now)
+		f.applyEvent(e, now)
 	}
 	if len(r.changes.Events) > 0 {
-		f.belief.Advance(r.changes.Revision)
+		f.state.Advance(r.changes.Revision)
 	}
-	if r.old {
+	if r.stale {
 		return
 	}
-	if r.proved.After(f.proved.Load()) {
-		f.proved.Store(r.proved)
+	if r.provedAt.After(f.provedAt.Load()) {
+		f.provedAt.Store(r.provedAt)
 	}
 	if r.listing != nil || len(r.changes.Events) > 0 || f.View() == nil {
-		f.publish(r.proved)
+		f.publish(r.provedAt)
 	}
 }
 
-func (f *Follower) replace(l *objectapi.Listing, now time.Time) {
+func (f *Follower) applyListing(l *objectapi.Listing, now time.Time) {
 	var all []*Instance
 	for _, o := range l.Objects {
 		if in := f.decode(o, now); in != nil {
 			all = append(all, in)
 		}
 	}
-	f.belief.Replace(all, l.Revision, f.proved.Load(), now)
+	f.state.Replace(all, l.Revision, f.provedAt.Load(), now)
 	f.Log.Info("instances listed", zap.Int("instances", len(all)), zap.Uint64("revision", l.Revision),
 		zap.Int("pages", l.Transfer.Pages), zap.Int("bytes", l.Transfer.Bytes), zap.Int64("wait_ms", l.Transfer.Wait.Milliseconds()),
 		zap.Int64("receive_ms", l.Transfer.Receive.Milliseconds()), zap.Int64("decode_ms", l.Transfer.Decode.Milliseconds()))
 }
 
-func (f *Follower) apply(e objectapi.Event, now time.Time) {
+func (f *Follower) applyEvent(e objectapi.Event, now time.Time) {
 	if e.Removed {
-		id := f.id(e.Object.Key)
-		believed := f.belief.Remove(id, f.proved.Load(), now)
+		id := f.instanceID(e.Object.Key)
+		kept := f.state.Remove(id, f.provedAt.Load(), now)
 		f.Log.Info("instance entry removed", zap.String("instance", id), zap.Uint64("version", e.Object.Version),
-			zap.Bool("believed", believed))
+			zap.Bool("believed", kept))
 		return
 	}
 	if in := f.decode(e.Object, now); in != nil {
-		f.belief.Put(in)
+		f.state.Put(in)
 		f.Log.Debug("instance entry", zap.String("instance", in.ID), zap.Int64("born", in.Born), zap.Bool("draining", in.Draining),
 			zap.String("group", in.Group.Name), zap.Uint64("epoch", in.Group.Epoch), zap.Int("rank", in.Group.Rank),
 			zap.String("state", string(in.Group.State)), zap.Strings("models", in.Models), zap.Strings("staged", in.Staged),
@@ -202,28 +201,29 @@
 	}
 }
 
-// decode reads an entry. One that names no instance ends what it said before.
+// decode decodes an entry. If it describes no instance, the instance that it described before
+// is removed.
 func (f *Follower) decode(o objectapi.Object, now time.Time) *Instance {
-	in, err := f.Decode(f.id(o.Key), o.Version, o.Value)
+	in, err := f.Decode(f.instanceID(o.Key), o.Version, o.Value)
 	if err != nil {
-		f.Log.Warn("instance entry not understood", zap.String("decision", "use_no_instance"), zap.String("key", o.Key),
+		f.Log.Warn("cannot decode instance entry", zap.String("decision", "use_no_instance"), zap.String("key", o.Key),
 			zap.Uint64("version", o.Version), zap.Error(err))
-		f.belief.Discard(f.id(o.Key), o.Version, now)
+		f.state.Discard(f.instanceID(o.Key), o.Version, now)
 		return nil
 	}
 	return in
 }
 
-func (f *Follower) id(key string) string { return strings.TrimPrefix(key, f.Kind+"/") }
+func (f *Follower) instanceID(key string) string { return strings.TrimPrefix(key, f.Kind+"/") }
 
-func (f *Follower) publish(seen time.Time) {
+func (f *Follower) publish(provedAt time.Time) {
 	if f.View() == nil {
-		f.Log.Info("instances known", zap.Int("instances", len(f.belief.instances)), zap.Uint64("revision", f.belief.Revision()),
-			zap.Int64("proved_ms_ago", f.Clock.Since(seen).Milliseconds()))
+		f.Log.Info("first view of instances", zap.Int("instances", len(f.state.instances)), zap.Uint64("revision", f.state.Revision()),
+			zap.Int64("proved_ms_ago", f.Clock.Since(provedAt).Milliseconds()))
 	}
-	f.view.Store(f.belief.View(seen))
+	f.view.Store(f.state.View(provedAt))
 	select {
-	case f.change <- struct{}{}:
+	case f.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/follower_test.go
+++ b/internal/fleet/follower_test.go
@@ -12,7 +12,7 @@
 	"pearlanding/internal/steady"
 )
 
-// scriptedFeed answers each call from a channel, so that a test decides the order.
+// scriptedFeed answers each call from a channel, so that the test controls the order.
 type scriptedFeed struct {
 	objectapi.Feed
 	lists   chan objectapi.Listing
@@ -40,7 +40,7 @@
 	}
 }
 
-// ListStale lists as ListKind does; a test that starts a follower gets past the proof.
+// ListStale lists as ListKind does; the first listing of a follower is stale.
 func (f *scriptedFeed) ListStale(ctx context.Context, kind string) (objectapi.Listing, error) {
 	return f.ListKind(ctx, kind)
 }
@@ -75,8 +75,8 @@
 	return f, feed
 }
 
-// testClock is a clock that no suspension moves, nor a correction of the time of day. That of the
-// machine must not be used in virtual time: it takes the jump for a suspension.
+// testClock returns a clock without suspensions and corrections of the time of day. The machine's
+// clock must not be used in virtual time: it would take the jump for a suspension.
 func testClock() *steady.Clock {
 	start := time.Now()
 	since := func() time.Duration { return time.Since(start) }
@@ -90,10 +90,10 @@
 	return objectapi.Object{Key: "entries/" + id, Version: version}
 }
 
-func TestFollowerGoesOnFromTheLastChangeItSaw(t *testing.T) {
+func TestFollowerResumesFromLastSeenChange(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("a", 3)}, Revision: 5}
-	// A watch that heard nothing may have missed changes: its revision is no news.
+	// A watch that received nothing may have missed changes: its revision is not used.
 	call := <-feed.follows
 	must.Eq(t, 5, call.after)
 	call.answer <- followAnswer{revision: 9}
@@ -106,7 +106,7 @@
 	must.MapNotContainsKey(t, f.View().Instances, "a")
 }
 
-func TestFollowerListsAgainWhenHistoryIsLost(t *testing.T) {
+func TestFollowerRelistsAfterCompaction(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("a", 3)}, Revision: 5}
 	(<-feed.follows).answer <- followAnswer{err: objectapi.ErrCompacted}
@@ -115,21 +115,21 @@
 	must.MapNotContainsKey(t, f.View().Instances, "a")
 }
 
-// A new planner must not plan on a view from before its term (seen as TWO: its
-// watch had heard nothing for nine seconds).
-func TestRefreshBreaksAWatchOffForAListing(t *testing.T) {
+// Guards against a new planner that plans on a view from before its term (fault TWO: its watch
+// had received nothing for nine seconds).
+func TestRefreshInterruptsWatchForListing(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Revision: 5}
-	<-feed.follows // hears nothing
+	<-feed.follows // receives nothing
 	before := f.Clock.Now()
 	f.Refresh()
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("b", 8)}, Revision: 9}
 	<-feed.follows
-	must.True(t, f.Proved().After(before))
+	must.True(t, f.ProvedAt().After(before))
 	must.MapContainsKey(t, f.View().Instances, "b")
 }
 
-func TestViewIsBuiltAnewWhenSizesChange(t *testing.T) {
+func TestViewIsRebuiltWhenSizesChange(t *testing.T) {
 	feedSize := 0
 	feed := &scriptedFeed{lists: make(chan objectapi.Listing), follows: make(chan followCall)}
 	decode := func(id string, version uint64, _ []byte) (*Instance, error) { return member(id, 0, Open), nil }
@@ -148,25 +148,25 @@
 	must.True(t, f.View().Groups[Key{"g", 3}].Serving())
 }
 
-// What happened: each start of a daemon listed the store as of now, two pages of the full
-// price, though what it followed next would have proved an old listing as well. What must
-// hold: no view is published on an old listing before what came after it is known.
-func TestFirstListingIsNoViewBeforeItIsFollowedUp(t *testing.T) {
+// The first listing is stale, as the watch after it proves it: a current listing cost each
+// starting daemon two pages at the full price. No view may be published from the stale listing
+// before the changes after it are known.
+func TestStaleFirstListingIsNotPublishedUntilProved(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("a", 3)}, Revision: 3}
 	call := <-feed.follows
 	must.Nil(t, f.View())
-	must.True(t, f.Proved().IsZero())
+	must.True(t, f.ProvedAt().IsZero())
 	must.Eq(t, 3, call.after)
 	call.answer <- followAnswer{events: []objectapi.Event{{Object: object("a", 5), Removed: true}, {Object: object("b", 7)}}, revision: 9}
 	<-feed.follows
 	must.MapContainsKeys(t, f.View().Instances, []string{"b"})
 	must.MapNotContainsKey(t, f.View().Instances, "a")
-	must.False(t, f.Proved().IsZero())
+	must.False(t, f.ProvedAt().IsZero())
 }
 
-// Where nothing changed since, the proof alone makes it a view.
-func TestProofAloneMakesTheFirstListingAView(t *testing.T) {
+// If nothing changed since the stale listing, the proof alone publishes it.
+func TestProofWithoutChangesPublishesFirstListing(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("a", 3)}, Revision: 3}
 	(<-feed.follows).answer <- followAnswer{revision: 3}
--- /dev/null
+++ b/internal/fleet/known_state.go
@@ -0,0 +1,181 @@
+package fleet
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Times for instances whose entries were removed.
+const (
+	// outageGrace is how long after an outage of the store a missing entry may
+	// still come back, as the platform promises.
+	outageGrace = 2 * time.Second
+	// removedRetention is how long a removed instance stays in the view: the planner of
+	// groups reads from it how long ago a group lost a member.
+	removedRetention = 60 * time.Second
+	// lapsedMemberTimeout is how long an instance whose entry lapsed still counts as a member of
+	// its group: about as long as instances are cut off from the store.
+	lapsedMemberTimeout = 15 * time.Second
+)
+
+// Belief accumulates listings and changes of the instances' entries and builds views from
+// them. It is not safe for concurrent use: one goroutine owns it. Time is passed in.
+type Belief struct {
+	// LeadsFor is how long a head whose entry disappeared without a notice may be sent requests,
+	// from the last proof that the entry existed; 0: not at all.
+	LeadsFor          time.Duration
+	size              SizeOf
+	reachability      *Reachability
+	instances         map[string]*Instance
+	inGrace           map[string]bool // entry removed right after an outage, instance kept
+	removed           map[string]Gone
+	endedIncarnations map[string][]int64 // start times of the ended incarnations of an id
+	revision          uint64
+	lastView          *View // published most recently
+}
+
+// NewBelief returns an empty known state. heartbeat is the time between the writes of
+// an instance's own entry: entries may lapse in an outage of the store of that length, as
+// it may have begun some heartbeats before a call showed it.
+func NewBelief(heartbeat time.Duration, size SizeOf) *Belief {
+	return &Belief{size: size, lastView: &View{}, reachability: NewReachability(heartbeat),
+		instances: map[string]*Instance{}, inGrace: map[string]bool{}, removed: map[string]Gone{}, endedIncarnations: map[string][]int64{}}
+}
+
+// Reachability returns the record of the outcomes of calls to the store. After an outage in
+// which entries may have lapsed, instances with missing entries are kept for outageGrace.
+func (b *Belief) Reachability() *Reachability { return b.reachability }
+
+// StoreFailed records that a call to the store, sent at a time, got no answer.
+func (b *Belief) StoreFailed(sentAt time.Time) { b.reachability.RecordFailure(sentAt) }
+
+// StoreAnswered records that the store answered at a time.
+func (b *Belief) StoreAnswered(at time.Time) { b.reachability.RecordAnswer(at) }
+
+// Replace applies a whole listing. provedAt is when the known state was last proved.
+func (b *Belief) Replace(instances []*Instance, revision uint64, provedAt, now time.Time) {
+	present := make(map[string]bool, len(instances))
+	for _, in := range instances {
+		present[in.ID] = true
+		b.Put(in)
+	}
+	for id := range b.instances {
+		if !present[id] {
+			b.Remove(id, provedAt, now)
+		}
+	}
+	b.revision = max(b.revision, revision)
+}
+
+// Put applies an instance's entry unless a newer version or a later incarnation is known. A
+// late entry of an earlier incarnation would bring back a group that the instance left when
+// it ended. Of two incarnations the one seen first is the earlier: the instance's clock may
+// step back between them.
+func (b *Belief) Put(in *Instance) {
+	old := b.instances[in.ID]
+	if old != nil && old.Version > in.Version || slices.Contains(b.endedIncarnations[in.ID], in.Born) {
+		return
+	}
+	if old == nil {
+		old = b.removed[in.ID].Instance
+	}
+	if old != nil && old.Born != in.Born && old.Born != 0 {
+		b.endedIncarnations[in.ID] = append(b.endedIncarnations[in.ID], old.Born)
+	}
+	b.instances[in.ID] = in
+	delete(b.inGrace, in.ID)
+	delete(b.removed, in.ID)
+}
+
+// outageGraceEnd returns until when a missing entry is attributed to the last outage. The grace
+// counts from the first answer to any call after it. Counted from the answer that brought the
+// removal, for which a watch may wait long after the store's return, requests would reach an
+// instance that left.
+func (b *Belief) outageGraceEnd() time.Time { return b.reachability.RecoveredAt().Add(outageGrace) }
+
+// Remove applies the removal of an entry and reports whether the instance is kept: right
+// after an outage it is, until the grace ends, unless it was draining.
+//
+// provedAt is when the entry was last proved to exist.
+func (b *Belief) Remove(id string, provedAt, now time.Time) (kept bool) {
+	in := b.instances[id]
+	if in == nil {
+		return false
+	}
+	if now.Before(b.outageGraceEnd()) && !in.Draining {
+		b.inGrace[id] = true
+		return true
+	}
+	b.forget(id, now)
+	b.startHeadGrace(id, provedAt, now)
+	return false
+}
+
+// startHeadGrace lets a head whose entry lapsed while it was open get requests for LeadsFor: an
+// engine cut off from the store keeps serving. Instances that leave may be sent requests for a
+// few seconds anyway, and a dead one is detected by its streams and by probes.
+func (b *Belief) startHeadGrace(id string, provedAt, now time.Time) {
+	gone := b.removed[id]
+	in := gone.Instance
+	gone.LeadsUntil = provedAt.Add(b.LeadsFor)
+	if in.Group.Rank == 0 && in.Group.State == Open && !in.Draining && now.Before(gone.LeadsUntil) {
+		gone.Leads, gone.Lapsed = true, true
+		b.removed[id] = gone
+	}
+}
+
+// Discard applies an entry that, since a version, describes no instance: another writer's, or
+// one that cannot be decoded. The instance that it described before is removed at once.
+func (b *Belief) Discard(id string, version uint64, now time.Time) {
+	if in := b.instances[id]; in != nil && in.Version <= version {
+		b.forget(id, now)
+	}
+}
+
+// Advance records that all changes up to a revision have been applied.
+func (b *Belief) Advance(revision uint64) { b.revision = max(b.revision, revision) }
+
+// Revision returns the store's revision up to which all changes are known.
+func (b *Belief) Revision() uint64 { return b.revision }
+
+// Expire drops instances whose grace or retention has ended at now and reports whether the
+// view changed by it.
+func (b *Belief) Expire(now time.Time) bool {
+	changed := false
+	for id, gone := range b.removed {
+		if gone.Lapsed && now.Sub(gone.At) > lapsedMemberTimeout || gone.Leads && !now.Before(gone.LeadsUntil) {
+			gone.Lapsed, gone.Leads, changed = false, false, true
+			b.removed[id] = gone
+		}
+		if now.Sub(gone.At) > removedRetention {
+			delete(b.removed, id)
+			delete(b.endedIncarnations, id)
+		}
+	}
+	if len(b.inGrace) == 0 || now.Before(b.outageGraceEnd()) || b.reachability.Unreachable() {
+		return changed
+	}
+	for id := range b.inGrace {
+		b.forget(id, now)
+	}
+	return true
+}
+
+func (b *Belief) forget(id string, now time.Time) {
+	in := b.instances[id]
+	ready := in.Group.State == Ready || in.Group.State == Open
+	b.removed[id] = Gone{Instance: in, At: now, Lapsed: ready && in.Group.Rank > 0 && !in.Draining}
+	delete(b.instances, id)
+	delete(b.inGrace, id)
+}
+
+// InvalidateView makes the next View rebuild every group, as the sizes of models may have
+// changed.
+func (b *Belief) InvalidateView() { b.lastView = &View{} }
+
+// View returns the known state, proved at a time, as an immutable view.
+func (b *Belief) View(provedAt time.Time) *View {
+	b.lastView = b.lastView.next(b.revision, provedAt, maps.Clone(b.instances), maps.Clone(b.removed), b.size)
+	return b.lastView
+}
--- a/internal/fleet/belief_test.go
+++ b/internal/fleet/known_state_test.go
@@ -13,7 +13,7 @@
 
 func sizes(_, model string) int { return map[string]int{"large": 2}[model] }
 
-func testBelief(ids ...string) *Belief {
+func newTestState(ids ...string) *Belief {
 	b := NewBelief(heartbeat, sizes)
 	for i, id := range ids {
 		b.Put(&Instance{ID: id, Service: "s", Version: uint64(i + 1)})
@@ -29,59 +29,59 @@
 	return out
 }
 
-func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
-	b := testBelief("a", "b")
+func TestRemovedEntryIsDroppedAtOnce(t *testing.T) {
+	b := newTestState("a", "b")
 	b.Remove("a", start, start)
 	must.Eq(t, []string{"b"}, b.ids())
 	must.MapContainsKey(t, b.View(start).Removed, "a")
 }
 
-func TestEntryThatLapsedInAnOutageIsBelievedUntilTheGraceEnds(t *testing.T) {
-	b := testBelief("a", "b", "leaving")
+func TestEntryLapsedInOutageIsKeptUntilGraceEnds(t *testing.T) {
+	b := newTestState("a", "b", "leaving")
 	b.Put(&Instance{ID: "leaving", Service: "s", Draining: true, Version: 9})
-	b.Lost(start)
+	b.StoreFailed(start)
 	back := start.Add(5 * heartbeat)
-	b.Reached(back)
+	b.StoreAnswered(back)
 	b.Replace(nil, 20, start, back)
 	must.Eq(t, []string{"a", "b"}, b.ids())
-	b.Put(&Instance{ID: "a", Service: "s", Version: 21}) // it lives, and came back
-	must.False(t, b.Expire(back.Add(returnGrace-1)))
-	must.True(t, b.Expire(back.Add(returnGrace)))
+	b.Put(&Instance{ID: "a", Service: "s", Version: 21}) // it is alive and wrote its entry again
+	must.False(t, b.Expire(back.Add(outageGrace-1)))
+	must.True(t, b.Expire(back.Add(outageGrace)))
 	must.Eq(t, []string{"a"}, b.ids())
 }
 
-// The log tells for each removal whether the instance is believed on: without, a removal
-// that was heard and one that was heeded looked alike.
-func TestRemovalTellsWhetherTheInstanceIsBelieved(t *testing.T) {
-	b := testBelief("a", "b")
+// Remove reports whether the instance is kept, for the log: otherwise a removal that was only
+// received and one that was applied look alike there.
+func TestRemoveReportsWhetherInstanceIsKept(t *testing.T) {
+	b := newTestState("a", "b")
 	must.False(t, b.Remove("a", start, start))
-	b.Lost(start)
-	b.Reached(start.Add(5 * heartbeat))
+	b.StoreFailed(start)
+	b.StoreAnswered(start.Add(5 * heartbeat))
 	must.True(t, b.Remove("b", start, start.Add(5*heartbeat)))
 	must.False(t, b.Remove("nobody", start, start.Add(5*heartbeat)))
 }
 
-func TestShortLossOfTheStoreIsNoOutage(t *testing.T) {
-	b := testBelief("a")
-	b.Lost(start)
-	b.Reached(start.Add(heartbeat / 2))
+func TestShortStoreFailureIsNoOutage(t *testing.T) {
+	b := newTestState("a")
+	b.StoreFailed(start)
+	b.StoreAnswered(start.Add(heartbeat / 2))
 	b.Remove("a", start, start.Add(heartbeat/2))
 	must.SliceEmpty(t, b.ids())
 }
 
-func TestNothingLapsesWhileTheStoreIsAwayAgain(t *testing.T) {
-	b := testBelief("a")
-	b.Lost(start)
+func TestNothingExpiresDuringSecondOutage(t *testing.T) {
+	b := newTestState("a")
+	b.StoreFailed(start)
 	back := start.Add(5 * heartbeat)
-	b.Reached(back)
+	b.StoreAnswered(back)
 	b.Remove("a", start, back)
-	b.Lost(back.Add(time.Second))
+	b.StoreFailed(back.Add(time.Second))
 	must.False(t, b.Expire(back.Add(time.Minute)))
 	must.Eq(t, []string{"a"}, b.ids())
 }
 
 func TestOlderEntryIsIgnored(t *testing.T) {
-	b := testBelief()
+	b := newTestState()
 	b.Put(&Instance{ID: "a", Service: "s", Draining: true, Version: 7})
 	b.Put(&Instance{ID: "a", Service: "s", Version: 6})
 	must.True(t, b.View(start).Instances["a"].Draining)
@@ -91,7 +91,7 @@
 	return &Instance{ID: id, Service: "s", Models: []string{"large"}, Group: Membership{Name: "g", Epoch: 3, Rank: rank, State: state}}
 }
 
-func TestGroupServesOnlyWhenOpenCompleteAndStaying(t *testing.T) {
+func TestGroupServesOnlyWhenOpenCompleteAndNotDraining(t *testing.T) {
 	for name, c := range map[string]struct {
 		members []*Instance
 		serves  bool
@@ -126,9 +126,9 @@
 	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving())
 }
 
-// Load: a part of the instances is cut off from the store for some seconds, and nearly
-// every group has a member among them. The groups go on, as long as their heads are seen.
-func TestGroupGoesOnWhenAMembersEntryLapses(t *testing.T) {
+// When a part of the instances is cut off from the store for some seconds, nearly every group has
+// a member among them. The groups keep serving as long as the entries of their heads are seen.
+func TestGroupServesOnWhenMemberEntryLapses(t *testing.T) {
 	key := Key{"g", 3}
 	for name, c := range map[string]struct {
 		gone   *Instance
@@ -145,15 +145,16 @@
 			b.Put(c.gone)
 			b.Remove("b", start, start)
 			must.Eq(t, c.serves, b.View(start).Groups[key].Serving())
-			must.False(t, b.View(start).Groups[key].Complete(), must.Sprint("it must not be opened again"))
-			b.Expire(start.Add(lapsedFor + time.Second))
-			must.False(t, b.View(start).Groups[key].Serving(), must.Sprint("nobody vouches for it that long"))
+			must.False(t, b.View(start).Groups[key].Complete(), must.Sprint("a group with a lapsed member must not be opened again"))
+			b.Expire(start.Add(lapsedMemberTimeout + time.Second))
+			must.False(t, b.View(start).Groups[key].Serving(), must.Sprint("a lapsed member counts for lapsedMemberTimeout only"))
 		})
 	}
 }
 
-// Requests must not reach an instance whose entry is gone: a group without its head ends.
-func TestGroupEndsWhenItsHeadsEntryLapses(t *testing.T) {
+// Requests must not reach an instance whose entry is gone: a group without its head does not
+// serve.
+func TestGroupStopsServingWhenHeadEntryLapses(t *testing.T) {
 	b := NewBelief(heartbeat, sizes)
 	b.Put(member("a", 0, Open))
 	b.Put(member("b", 1, Ready))
@@ -161,8 +162,8 @@
 	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving())
 }
 
-// An instance whose entry is back is a member as any other.
-func TestMemberWhoseEntryIsBack(t *testing.T) {
+// An instance whose entry returned is a full member of the group that the entry names.
+func TestMemberWithReturnedEntryCompletesGroup(t *testing.T) {
 	b := NewBelief(heartbeat, sizes)
 	b.Put(member("a", 0, Open))
 	b.Put(member("b", 1, Ready))
@@ -173,5 +174,5 @@
 	back := member("b", 1, Ready)
 	back.Group.Epoch = 4
 	b.Put(back)
-	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving(), must.Sprint("it is in another group"))
+	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving(), must.Sprint("the member is in another group"))
 }
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -10,91 +10,92 @@
 	"pearlanding/internal/objectapi"
 )
 
-// Reachability is what all calls of one daemon show of whether the store answers. One call
-// alone tells late: a watch waits for changes, and one sent while the store was away may
-// hang long after its return. Safe for concurrent use; time is passed in.
+// Reachability records from the outcomes of all calls of one daemon whether the store answers.
+// A single call shows it late: a watch waits for changes, and one sent during an outage may
+// hang long after its end. Safe for concurrent use; time is passed in.
 type Reachability struct {
-	least    time.Duration // shorter absences are none
-	returned chan struct{}
+	minOutage time.Duration // shorter ones do not count as outages
+	recovered chan struct{}
 
-	mu       sync.Mutex
-	answered time.Time // when the store answered last
-	lost     time.Time // when a call was sent that got no answer; zero: the store answers
-	back     time.Time // when the last absence ended
+	mu           sync.Mutex
+	lastAnswer   time.Time // when the store last answered
+	failingSince time.Time // when the first unanswered call was sent; zero: the store answers
+	recoveredAt  time.Time // when the last outage ended
 }
 
-// NewReachability returns a reachability for which an absence lasts least or longer.
-func NewReachability(least time.Duration) *Reachability {
-	return &Reachability{least: least, returned: make(chan struct{}, 1)}
+// NewReachability returns a Reachability that counts only failures of minOutage or longer as
+// outages.
+func NewReachability(minOutage time.Duration) *Reachability {
+	return &Reachability{minOutage: minOutage, recovered: make(chan struct{}, 1)}
 }
 
-// Note takes in one call that was sent at asked and ended at ended.
-func (r *Reachability) Note(asked, ended time.Time, err error) {
+// Record records one call: when it was sent, when it ended and its error.
+func (r *Reachability) Record(sentAt, endedAt time.Time, err error) {
 	switch {
 	case err == nil, errors.Is(err, objectapi.ErrNotFound), errors.Is(err, objectapi.ErrConflict), errors.Is(err, objectapi.ErrCompacted):
-		r.Answered(ended)
+		r.RecordAnswer(endedAt)
 	case errors.Is(err, context.Canceled):
-		// This daemon broke the call off.
+		// This daemon canceled the call.
 	default:
-		r.Failed(asked)
+		r.RecordFailure(sentAt)
 	}
 }
 
-// Answered notes an answer of the store. One from before the call that got none says
-// nothing of what came after.
-func (r *Reachability) Answered(at time.Time) {
+// RecordAnswer records an answer of the store. An answer from before the unanswered call says
+// nothing about the time after it.
+func (r *Reachability) RecordAnswer(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at.Before(r.lost) || at.Before(r.answered) {
+	if at.Before(r.failingSince) || at.Before(r.lastAnswer) {
 		return
 	}
-	r.answered = at
-	if r.lost.IsZero() {
+	r.lastAnswer = at
+	if r.failingSince.IsZero() {
 		return
 	}
-	absence := at.Sub(r.lost)
-	r.lost = time.Time{}
-	if absence < r.least {
+	outage := at.Sub(r.failingSince)
+	r.failingSince = time.Time{}
+	if outage < r.minOutage {
 		return
 	}
-	r.back = at
+	r.recoveredAt = at
 	select {
-	case r.returned <- struct{}{}:
+	case r.recovered <- struct{}{}:
 	default:
 	}
 }
 
-// Failed notes that a call got no answer. One that was sent before the newest answer came
-// says nothing of the store as it is.
-func (r *Reachability) Failed(asked time.Time) {
+// RecordFailure records that a call sent at a time got no answer. A call sent before the newest
+// answer says nothing about the store since that answer.
+func (r *Reachability) RecordFailure(sentAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lost.IsZero() && !asked.Before(r.answered) {
-		r.lost = asked
+	if r.failingSince.IsZero() && !sentAt.Before(r.lastAnswer) {
+		r.failingSince = sentAt
 	}
 }
 
-// Lost tells whether the store does not answer.
-func (r *Reachability) Lost() bool {
+// Unreachable reports whether the store does not answer.
+func (r *Reachability) Unreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.lost.IsZero()
+	return !r.failingSince.IsZero()
 }
 
-// LostSince returns when the first call was sent that the store did not answer, if it has
-// answered none since.
-func (r *Reachability) LostSince() (since time.Time, lost bool) {
+// UnreachableSince returns when the first unanswered call was sent, if the store has answered
+// none since.
+func (r *Reachability) UnreachableSince() (since time.Time, unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lost, !r.lost.IsZero()
+	return r.failingSince, !r.failingSince.IsZero()
 }
 
-// Back returns when the last absence ended, as far as any call showed it.
-func (r *Reachability) Back() time.Time {
+// RecoveredAt returns when the last outage ended, as far as any call showed it.
+func (r *Reachability) RecoveredAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.back
+	return r.recoveredAt
 }
 
-// Returned is signalled when an absence ends. It has one receiver.
-func (r *Reachability) Returned() <-chan struct{} { return r.returned }
+// Recovered returns a channel that receives a value when an outage ends. It has one receiver.
+func (r *Reachability) Recovered() <-chan struct{} { return r.recovered }
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -14,25 +14,25 @@
 
 var errNoAnswer = errors.WithType(errors.New("timeout"), objectapi.ErrUnavailable)
 
-// An absence begins when the first call without an answer was sent, and ends with the
-// first answer to any call.
-func TestAbsenceEndsWithTheFirstAnswerToAnyCall(t *testing.T) {
+// An outage begins when the first unanswered call was sent, and ends with the first answer to
+// any call.
+func TestOutageEndsWithFirstAnswerToAnyCall(t *testing.T) {
 	c := NewReachability(heartbeat)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	c.Note(at(0), at(0.1), nil)
-	c.Note(at(1), at(2.5), errNoAnswer) // a read
-	c.Note(at(0.5), at(5), errNoAnswer) // a watch sent before it
-	must.True(t, c.Lost())
-	c.Note(at(6), at(6.1), nil) // another read
-	must.False(t, c.Lost())
-	must.Eq(t, at(6.1), c.Back())
-	c.Note(at(5.5), at(10), errNoAnswer) // a watch that hung since before the return
-	must.False(t, c.Lost())
-	c.Note(at(10.5), at(13), nil) // the watch that brings the next change
-	must.Eq(t, at(6.1), c.Back())
+	c.Record(at(0), at(0.1), nil)
+	c.Record(at(1), at(2.5), errNoAnswer) // a read
+	c.Record(at(0.5), at(5), errNoAnswer) // a watch sent before it
+	must.True(t, c.Unreachable())
+	c.Record(at(6), at(6.1), nil) // another read
+	must.False(t, c.Unreachable())
+	must.Eq(t, at(6.1), c.RecoveredAt())
+	c.Record(at(5.5), at(10), errNoAnswer) // a watch that hung since before the recovery
+	must.False(t, c.Unreachable())
+	c.Record(at(10.5), at(13), nil) // the watch that brings the next change
+	must.Eq(t, at(6.1), c.RecoveredAt())
 }
 
-func TestAnswersEndAnAbsenceWhateverTheySay(t *testing.T) {
+func TestAnyAnswerEndsOutage(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
 		ends bool
@@ -43,65 +43,65 @@
 		"compacted":    {objectapi.ErrCompacted, true},
 		"refused":      {errNoAnswer, false},
 		"lost write":   {objectapi.ErrUnknownOutcome, false},
-		"broken off":   {errors.WithType(errors.Annotate(context.Canceled, "get"), objectapi.ErrUnavailable), false},
+		"canceled":     {errors.WithType(errors.Annotate(context.Canceled, "get"), objectapi.ErrUnavailable), false},
 		"call timeout": {errors.WithType(context.DeadlineExceeded, objectapi.ErrUnavailable), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reach := NewReachability(heartbeat)
-			reach.Failed(start)
-			reach.Note(start.Add(heartbeat), start.Add(2*heartbeat), c.err)
-			must.Eq(t, !c.ends, reach.Lost())
+			reach.RecordFailure(start)
+			reach.Record(start.Add(heartbeat), start.Add(2*heartbeat), c.err)
+			must.Eq(t, !c.ends, reach.Unreachable())
 		})
 	}
 }
 
-func TestCallBrokenOffIsNoLoss(t *testing.T) {
+func TestCanceledCallIsNoFailure(t *testing.T) {
 	c := NewReachability(heartbeat)
-	c.Note(start, start.Add(time.Second), errors.WithType(errors.Annotate(context.Canceled, "watch"), objectapi.ErrUnavailable))
-	must.False(t, c.Lost())
+	c.Record(start, start.Add(time.Second), errors.WithType(errors.Annotate(context.Canceled, "watch"), objectapi.ErrUnavailable))
+	must.False(t, c.Unreachable())
 }
 
-// What another daemon knew from before the loss does not end it.
-func TestAnswerFromBeforeTheLossDoesNotEndIt(t *testing.T) {
+// An answer that another daemon got before the first failure does not end the outage.
+func TestAnswerBeforeFailureDoesNotEndOutage(t *testing.T) {
 	c := NewReachability(heartbeat)
-	c.Failed(start)
-	c.Answered(start.Add(-time.Millisecond))
-	must.True(t, c.Lost())
+	c.RecordFailure(start)
+	c.RecordAnswer(start.Add(-time.Millisecond))
+	must.True(t, c.Unreachable())
 }
 
-// A watch sent while the store was away hung for 4.5 seconds in all, 2.5 of them after
-// other calls of the same daemon were answered again; changes of that time were unknown to
-// it as long ("store reached again" at 12.38 s, "instances not followed" at 14.41 s).
-func TestWatchThatHangsIsSentAnewWhenTheStoreIsBack(t *testing.T) {
+// Guards against a watch sent during an outage that hides changes after its end: one hung for
+// 4.5 seconds, 2.5 of them after other calls of the same daemon were answered again ("store
+// reached again" at 12.38 s, "instances not followed" at 14.41 s).
+func TestHangingWatchIsRestartedWhenStoreRecovers(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("a", 3)}, Revision: 5}
 	<-feed.follows // hangs
-	reach := f.belief.Reachability()
+	reach := f.state.Reachability()
 	sent := time.Now()
-	reach.Failed(sent)
-	reach.Answered(sent.Add(2 * heartbeat))
+	reach.RecordFailure(sent)
+	reach.RecordAnswer(sent.Add(2 * heartbeat))
 	select {
 	case call := <-feed.follows:
 		must.Eq(t, 5, call.after)
 		call.answer <- followAnswer{events: []objectapi.Event{{Object: object("b", 8)}}, revision: 9}
 	case <-time.After(2 * time.Second):
-		t.Fatal("the watch still hangs")
+		t.Fatal("the watch was not restarted within 2 s of the recovery")
 	}
 	<-feed.follows
 	must.MapContainsKey(t, f.View().Instances, "b")
 }
 
-// A daemon rests up to a second after a watch that failed; not when the store is back.
-func TestFollowerDoesNotRestWhenTheStoreIsBack(t *testing.T) {
+// Backoff after failed watches takes up to a second, but ends when the store answers again.
+func TestFollowerSkipsBackoffWhenStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, feed := startFollower(t)
 		feed.lists <- objectapi.Listing{Revision: 5}
-		for range 4 { // the rest is at its longest
+		for range 4 { // the backoff is at its maximum
 			(<-feed.follows).answer <- followAnswer{err: errNoAnswer}
 		}
-		synctest.Wait() // the last call has ended, and the rest begun
+		synctest.Wait() // the last call has ended, and the backoff begun
 		begun := f.Clock.Now()
-		f.belief.Reached(begun.Add(2 * heartbeat))
+		f.state.StoreAnswered(begun.Add(2 * heartbeat))
 		<-feed.follows
 		must.Eq(t, 0, f.Clock.Since(begun))
 	})
--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -10,19 +10,19 @@
 	"pearlanding/internal/pause"
 )
 
-// call lists once and then follows, listing again when history was lost or when
-// asked to. The first listing may be old, as what is followed from it proves it. It goes on from the last change that it saw and not from the store's
-// revision in an answer without changes: a watch that heard nothing may have missed
-// some.
-func (f *Follower) call(ctx context.Context, results chan<- result, resume <-chan uint64) {
-	next, retry, wait := firstListing, retryPause, ProveWait
+// followStore lists once and then watches, listing again after a compaction or on Refresh.
+// The first listing may be stale, as the watch that follows it proves it. A watch resumes
+// after the last change received and not after the store's revision in an answer without
+// changes: a watch that received nothing may have missed some.
+func (f *Follower) followStore(ctx context.Context, results chan<- callResult, resume <-chan uint64) {
+	next, retry, wait := listStale, minRetryBackoff, ProveWait
 	var revision uint64
 	for ctx.Err() == nil {
-		r, broken := f.once(ctx, next, revision, wait)
-		if broken != notBroken {
-			next, wait = follow, ProveWait
-			if broken == forListing {
-				next = listing
+		r, interrupted := f.callOnce(ctx, next, revision, wait)
+		if interrupted != notInterrupted {
+			next, wait = watchChanges, ProveWait
+			if interrupted == forRelist {
+				next = listCurrent
 			}
 			continue
 		}
@@ -38,112 +38,112 @@
 		}
 		switch {
 		case errors.Is(r.err, objectapi.ErrCompacted):
-			next = listing
+			next = listCurrent
 			continue
 		case r.err != nil:
-			f.pauseUntilReturn(ctx, retry)
-			retry, wait = min(2*retry, retryMost), ProveWait
+			f.backOff(ctx, retry)
+			retry, wait = min(2*retry, maxRetryBackoff), ProveWait
 			continue
 		}
-		if next == follow {
-			wait = followWait
+		if next == watchChanges {
+			wait = watchWait
 		}
-		next, retry = follow, retryPause
+		next, retry = watchChanges, minRetryBackoff
 		if len(r.changes.Events) > 0 {
-			f.rest(ctx)
+			f.pauseAfterChanges(ctx)
 		}
 	}
 }
 
-// rest pauses after a call that brought changes, no longer than the pace allows
-// at any moment of the pause.
-func (f *Follower) rest(ctx context.Context) {
-	pace := func() time.Duration { return followPause }
-	if f.Pace != nil {
-		pace = f.Pace
+// pauseAfterChanges pauses after a call that brought changes, for no longer than UpdatePause
+// returns at any moment of the pause.
+func (f *Follower) pauseAfterChanges(ctx context.Context) {
+	updatePause := func() time.Duration { return defaultUpdatePause }
+	if f.UpdatePause != nil {
+		updatePause = f.UpdatePause
 	}
-	for waited := time.Duration(0); waited < pace() && ctx.Err() == nil; {
-		step := min(paceTick, pace()-waited)
+	for waited := time.Duration(0); waited < updatePause() && ctx.Err() == nil; {
+		step := min(pauseCheckInterval, updatePause()-waited)
 		pause.For(ctx, step)
 		waited += step
 	}
 }
 
-// pauseUntilReturn waits for d, or until another call shows that the store is back.
-func (f *Follower) pauseUntilReturn(ctx context.Context, d time.Duration) {
+// backOff waits for d, or until another call shows that the store answers again.
+func (f *Follower) backOff(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-f.belief.Reachability().Returned():
+	case <-f.state.Reachability().Recovered():
 	case <-ctx.Done():
 	}
 }
 
-// broken is why a watch was broken off.
-type broken int
+// interruption is the reason why a watch was interrupted.
+type interruption int
 
 const (
-	notBroken  broken = iota
-	forListing        // a whole listing was asked for
-	forReturn         // it was sent while the store was away, which has returned since
+	notInterrupted interruption = iota
+	forRelist                   // Refresh asked for a whole listing
+	forRecovery                 // it was sent during an outage of the store that has ended since
 )
 
-// kindOfCall is what a call asks for.
-type kindOfCall int
+// callKind is the kind of a call to the store.
+type callKind int
 
 const (
-	firstListing kindOfCall = iota // as of some seconds ago
-	listing                        // as of now
-	follow
+	listStale    callKind = iota // a listing that may be some seconds old
+	listCurrent                  // a listing as of now
+	watchChanges                 // changes since a revision
 )
 
-// once makes one call, unless it is broken off.
-func (f *Follower) once(ctx context.Context, call kindOfCall, revision uint64, wait time.Duration) (result, broken) {
-	r := result{proved: f.Clock.Now()}
-	if call != follow {
+// callOnce makes one call and returns its result, or why it was interrupted.
+func (f *Follower) callOnce(ctx context.Context, call callKind, revision uint64, wait time.Duration) (callResult, interruption) {
+	r := callResult{provedAt: f.Clock.Now()}
+	if call != watchChanges {
 		var l objectapi.Listing
-		if call == firstListing {
+		if call == listStale {
 			l, r.err = f.Feed.ListStale(ctx, f.Kind)
-			r.old = true
+			r.stale = true
 		} else {
 			l, r.err = f.Feed.ListKind(ctx, f.Kind)
 		}
 		r.listing = &l
-		return r, notBroken
+		return r, notInterrupted
 	}
-	asked := r.proved
+	sentAt := r.provedAt
 	watch, cancel := context.WithCancel(ctx)
-	why := make(chan broken)
+	interrupted := make(chan interruption)
 	go func() {
-		reason := f.interrupted(watch, asked)
+		reason := f.awaitInterruption(watch, sentAt)
 		cancel()
-		why <- reason
+		interrupted <- reason
 	}()
 	r.changes, r.err = f.Feed.Follow(watch, f.Kind, revision, wait)
-	r.proved = asked.Add(-r.changes.Age)
+	r.provedAt = sentAt.Add(-r.changes.Age)
 	cancel()
-	reason := <-why
-	if reason == forReturn && r.err == nil {
-		reason = notBroken
+	reason := <-interrupted
+	if reason == forRecovery && r.err == nil {
+		reason = notInterrupted
 	}
 	return r, reason
 }
 
-// interrupted waits for a reason to break off a watch that was sent at asked, or for its
-// end. A watch that was sent while the store was away may hang until its timeout and hide
+// awaitInterruption waits for a reason to interrupt a watch sent at a time, or for its
+// end. A watch that was sent during an outage of the store may hang until its timeout and hide
 // all changes since, for longer than the bound on instances that leave.
-func (f *Follower) interrupted(watch context.Context, asked time.Time) broken {
-	reach := f.belief.Reachability()
+func (f *Follower) awaitInterruption(watch context.Context, sentAt time.Time) interruption {
+	reach := f.state.Reachability()
 	for {
 		select {
 		case <-watch.Done():
-			return notBroken
-		case <-f.list:
-			return forListing
-		case <-reach.Returned():
-			if asked.Before(reach.Back()) {
-				return forReturn
+			return notInterrupted
+		case <-f.relist:
+			return forRelist
+		case <-reach.Recovered():
+			if sentAt.Before(reach.RecoveredAt()) {
+				return forRecovery
 			}
 		}
 	}
--- a/internal/front/calls.go
+++ b/internal/front/calls.go
@@ -45,7 +45,7 @@
 // reach of it.
 func (c *countedFeed) note(call, key string, asked time.Time, err error) {
 	now := c.clock.Now()
-	c.reach.Note(asked, now, err)
+	c.reach.Record(asked, now, err)
 	c.count(call, key, err)
 	c.tellAbsence(call, key, asked, now, err)
 }
@@ -53,7 +53,7 @@
 // tellAbsence logs the call that showed that the store does not answer, and the one that
 // showed that it does again.
 func (c *countedFeed) tellAbsence(call, key string, asked, now time.Time, err error) {
-	since, lost := c.reach.LostSince()
+	since, lost := c.reach.UnreachableSince()
 	c.mu.Lock()
 	before, held := c.lost, c.held
 	changed := lost == before.IsZero()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -214,7 +214,7 @@
 
 // absentSeconds is for how long the store has answered no call of this daemon.
 func (d *Daemon) absentSeconds() float64 {
-	since, lost := d.calls.reach.LostSince()
+	since, lost := d.calls.reach.UnreachableSince()
 	if !lost {
 		return 0
 	}
@@ -238,7 +238,7 @@
 		group.Go(func() { f(ctx) })
 	}
 	manager := d.manager()
-	d.fleet.Pace = d.pace
+	d.fleet.UpdatePause = d.pace
 	run(work, d.run.Run)
 	run(work, d.tellLateness)
 	run(work, d.config.Run)
@@ -274,7 +274,7 @@
 	return &formation.Manager{
 		Clock: d.Clock, RunClock: d.run,
 		Lease: d.lease, Orders: orders, Prober: prober, Still: d.still, Stopped: d.surveyed,
-		View: d.fleet.View, Changed: d.fleet.Changed(), Proved: d.fleet.Proved, Refresh: d.fleet.Refresh, Table: d.config.Table,
+		View: d.fleet.View, Changed: d.fleet.Changed(), Proved: d.fleet.ProvedAt, Refresh: d.fleet.Refresh, Table: d.config.Table,
 		Idle:    d.gateway.Idle,
 		Relayed: func() bool { return d.following() == followsRelayed },
 		Serving: func() bool { return d.following() == followsForAll },
--- a/internal/front/outage.go
+++ b/internal/front/outage.go
@@ -42,7 +42,7 @@
 
 // mayAsk tells whether a call may be made now; it then counts as made.
 func (o *outage) mayAsk(now time.Time) bool {
-	since, lost := o.reach.LostSince()
+	since, lost := o.reach.UnreachableSince()
 	if !lost || now.Sub(since) < outageAfter {
 		return true
 	}
--- a/internal/front/outage_test.go
+++ b/internal/front/outage_test.go
@@ -28,12 +28,12 @@
 		for range 4 {
 			if o.mayAsk(now.Add(at)) {
 				asked++
-				reach.Failed(now.Add(at))
+				reach.RecordFailure(now.Add(at))
 			}
 		}
 	}
 	must.LessEq(t, 4*4+3, asked)
-	reach.Answered(now.Add(12 * time.Second))
+	reach.RecordAnswer(now.Add(12 * time.Second))
 	for range 4 {
 		must.True(t, o.mayAsk(now.Add(12*time.Second)))
 	}
@@ -43,7 +43,7 @@
 func TestOneLostAnswerHoldsNothingBack(t *testing.T) {
 	reach := fleet.NewReachability(time.Second)
 	o := &outage{reach: reach}
-	reach.Failed(now)
+	reach.RecordFailure(now)
 	for range 3 {
 		must.True(t, o.mayAsk(now.Add(outageAfter-1)))
 	}
@@ -55,7 +55,7 @@
 	away := func(feed objectapi.Feed) *countedFeed {
 		reach := fleet.NewReachability(time.Second)
 		c := newCountedFeed(feed, "config/main", reach, metrics.NewSet(), zap.NewNop())
-		reach.Failed(time.Now().Add(-time.Minute))
+		reach.RecordFailure(time.Now().Add(-time.Minute))
 		c.outage.asked = time.Now()
 		return c
 	}
@@ -81,11 +81,11 @@
 	c := newCountedFeed(feed, "config/main", reach, metrics.NewSet(), zap.NewNop())
 	_, err := c.Get(context.Background(), "config/main")
 	must.ErrorIs(t, err, objectapi.ErrUnavailable)
-	must.True(t, reach.Lost())
+	must.True(t, reach.Unreachable())
 	feed.err = nil
 	_, err = c.Get(context.Background(), "config/main")
 	must.NoError(t, err)
-	must.False(t, reach.Lost())
+	must.False(t, reach.Unreachable())
 }
 
 // renewed counts calls.
--- a/internal/front/zone_test.go
+++ b/internal/front/zone_test.go
@@ -89,7 +89,7 @@
 	go d.config.Run(ctx)
 	go d.fleet.Run(ctx)
 	go d.answerPeers(ctx, z.net.listen(name))
-	d.fleet.Pace = d.pace
+	d.fleet.UpdatePause = d.pace
 	z.ends[d] = end
 	if z.started != nil {
 		z.started(ctx, d)
