--- a/internal/front/calls.go
+++ b/internal/front/calls.go
@@ -19,76 +19,77 @@
 	"pearlanding/internal/steady"
 )
 
-// countedFeed counts the calls to the store by call, kind of object and outcome, tells
-// reach how each ended, and holds calls back while the store does not answer.
+// countedFeed counts the calls to the store by call, kind of object and outcome, records their
+// outcomes in reachability, and holds calls back while the store does not answer.
 type countedFeed struct {
 	objectapi.Feed
-	probeKey string // of the object whose reads find out whether the store answers
-	set      *metrics.Set
-	reach    *fleet.Reachability
-	clock    *steady.Clock // nil: this machine's
-	log      *zap.Logger
-	outage   outage
-	mu       sync.Mutex
-	total    map[string]uint64 // by call and kind
-	lost     time.Time         // since when calls get no answer, as logged; zero: they do
-	held     uint64            // calls held back since
+	probeKey     string // key of the object whose reads probe whether the store answers
+	set          *metrics.Set
+	reachability *fleet.Reachability
+	clock        *steady.Clock // nil: this machine's
+	log          *zap.Logger
+	limiter      outageLimiter
+	mu           sync.Mutex
+	total        map[string]uint64 // number of calls by call and kind
+	outageSince  time.Time         // since when calls get no answer, as logged; zero: the store answers
+	heldBack     uint64            // calls held back in this outage
 }
 
-// newCountedFeed returns a feed; reads of the object probeKey are never held back.
-func newCountedFeed(feed objectapi.Feed, probeKey string, reach *fleet.Reachability, set *metrics.Set, log *zap.Logger) *countedFeed {
-	return &countedFeed{Feed: feed, probeKey: probeKey, reach: reach, set: set, log: log, total: map[string]uint64{},
-		outage: outage{reach: reach}}
+// newCountedFeed returns a feed that calls feed; calls about the object probeKey are never held
+// back.
+func newCountedFeed(feed objectapi.Feed, probeKey string, reachability *fleet.Reachability, set *metrics.Set, log *zap.Logger) *countedFeed {
+	return &countedFeed{Feed: feed, probeKey: probeKey, reachability: reachability, set: set, log: log, total: map[string]uint64{},
+		limiter: outageLimiter{reachability: reachability}}
 }
 
-// note counts one call about an object or a kind of objects, sent at asked, and tells
-// reach of it.
-func (c *countedFeed) note(call, key string, asked time.Time, err error) {
+// recordCall counts one call about an object or a kind of objects, sent at a time, and records
+// its outcome in reachability.
+func (c *countedFeed) recordCall(call, key string, sentAt time.Time, err error) {
 	now := c.clock.Now()
-	c.reach.Record(asked, now, err)
+	c.reachability.Record(sentAt, now, err)
 	c.count(call, key, err)
-	c.tellAbsence(call, key, asked, now, err)
+	c.logOutage(call, key, sentAt, now, err)
 }
 
-// tellAbsence logs the call that showed that the store does not answer, and the one that
-// showed that it does again.
-func (c *countedFeed) tellAbsence(call, key string, asked, now time.Time, err error) {
-	since, lost := c.reach.UnreachableSince()
+// logOutage logs the call that showed that the store does not answer, and the one that showed
+// that it answers again.
+func (c *countedFeed) logOutage(call, key string, sentAt, now time.Time, err error) {
+	since, unreachable := c.reachability.UnreachableSince()
 	c.mu.Lock()
-	before, held := c.lost, c.held
-	changed := lost == before.IsZero()
+	before, held := c.outageSince, c.heldBack
+	changed := unreachable == before.IsZero()
 	if changed {
-		c.lost, c.held = since, 0
+		c.outageSince, c.heldBack = since, 0
 	}
 	c.mu.Unlock()
-	shownBy := []zap.Field{zap.String("call", call), zap.String("key", key), zap.Int64("asked_ms_ago", now.Sub(asked).Milliseconds())}
+	shownBy := []zap.Field{zap.String("call", call), zap.String("key", key), zap.Int64("asked_ms_ago", now.Sub(sentAt).Milliseconds())}
 	switch {
 	case !changed:
 		return
-	case lost:
+	case unreachable:
 		c.log.Info("store does not answer", append(shownBy, zap.Error(err))...)
 		return
-	case err != nil: // this call got no answer: another daemon told
+	case err != nil: // this call got no answer: another daemon's confirmation ended the outage
 		shownBy = []zap.Field{zap.String("call", "relays_proof")}
 	}
 	c.log.Info("store answers again", append(shownBy, zap.Int64("absent_ms", now.Sub(before).Milliseconds()), zap.Uint64("held_back", held))...)
 }
 
-// mayAsk tells whether a call may be made now, and counts one that is held back.
-func (c *countedFeed) mayAsk(call, key string) bool {
-	if key == c.probeKey || c.outage.mayAsk(c.clock.Now()) {
+// allow reports whether a call may be made now, and counts one that is held back.
+func (c *countedFeed) allow(call, key string) bool {
+	if key == c.probeKey || c.limiter.allow(c.clock.Now()) {
 		return true
 	}
 	c.mu.Lock()
-	c.held++
+	c.heldBack++
 	c.mu.Unlock()
 	kind, _, _ := strings.Cut(key, "/")
 	c.set.GetOrCreateCounter(fmt.Sprintf("pearlanding_store_calls_held_back_total{call=%q,kind=%q}", call, kind)).Inc()
 	return false
 }
 
-// count counts one call. One that may be answered from an old copy shows nothing of
-// whether the store is there.
+// count counts one call. Calls that may be answered from a stale copy are only counted, as they
+// do not show whether the store is reachable.
 func (c *countedFeed) count(call, key string, err error) {
 	kind, _, _ := strings.Cut(key, "/")
 	c.mu.Lock()
@@ -97,7 +98,7 @@
 	c.set.GetOrCreateCounter(fmt.Sprintf("pearlanding_store_calls_total{call=%q,kind=%q,outcome=%q}", call, kind, outcome(err))).Inc()
 }
 
-// outcome names an error of the store for a metric.
+// outcome returns the name of an error of the store for a metric.
 func outcome(err error) string {
 	for _, known := range []errors.ConstError{objectapi.ErrNotFound, objectapi.ErrConflict, objectapi.ErrUnavailable,
 		objectapi.ErrUnknownOutcome, objectapi.ErrCompacted} {
@@ -113,18 +114,18 @@
 
 // Get implements objectapi.Feed.
 func (c *countedFeed) Get(ctx context.Context, key string) (objectapi.Object, error) {
-	if !c.mayAsk("get", key) {
+	if !c.allow("get", key) {
 		return objectapi.Object{}, errHeldBack
 	}
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	o, err := c.Feed.Get(ctx, key)
-	c.note("get", key, asked, err)
+	c.recordCall("get", key, sentAt, err)
 	return o, err
 }
 
 // GetStale implements objectapi.Feed.
 func (c *countedFeed) GetStale(ctx context.Context, key string) (objectapi.Object, error) {
-	if !c.mayAsk("get-stale", key) {
+	if !c.allow("get-stale", key) {
 		return objectapi.Object{}, errHeldBack
 	}
 	o, err := c.Feed.GetStale(ctx, key)
@@ -134,7 +135,7 @@
 
 // ListStale implements objectapi.Feed.
 func (c *countedFeed) ListStale(ctx context.Context, kind string) (objectapi.Listing, error) {
-	if !c.mayAsk("list-stale", kind) {
+	if !c.allow("list-stale", kind) {
 		return objectapi.Listing{}, errHeldBack
 	}
 	l, err := c.Feed.ListStale(ctx, kind)
@@ -144,55 +145,55 @@
 
 // ListKind implements objectapi.Feed.
 func (c *countedFeed) ListKind(ctx context.Context, kind string) (objectapi.Listing, error) {
-	if !c.mayAsk("list", kind) {
+	if !c.allow("list", kind) {
 		return objectapi.Listing{}, errHeldBack
 	}
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	l, err := c.Feed.ListKind(ctx, kind)
-	c.note("list", kind, asked, err)
+	c.recordCall("list", kind, sentAt, err)
 	return l, err
 }
 
 // Follow implements objectapi.Feed.
 func (c *countedFeed) Follow(ctx context.Context, kind string, after uint64, wait time.Duration) (objectapi.Changes, error) {
-	if !c.mayAsk("follow", kind) {
+	if !c.allow("follow", kind) {
 		return objectapi.Changes{}, errHeldBack
 	}
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	changes, err := c.Feed.Follow(ctx, kind, after, wait)
-	c.note("follow", kind, asked, err)
+	c.recordCall("follow", kind, sentAt, err)
 	return changes, err
 }
 
 // Create implements objectapi.Feed.
 func (c *countedFeed) Create(ctx context.Context, key string, value []byte) (uint64, error) {
-	if !c.mayAsk("create", key) {
+	if !c.allow("create", key) {
 		return 0, errHeldBack
 	}
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	version, err := c.Feed.Create(ctx, key, value)
-	c.note("create", key, asked, err)
+	c.recordCall("create", key, sentAt, err)
 	return version, err
 }
 
 // Update implements objectapi.Feed.
 func (c *countedFeed) Update(ctx context.Context, key string, version uint64, value []byte) (uint64, error) {
-	if key != leaseKey && !c.mayAsk("update", key) {
+	if key != leaseKey && !c.allow("update", key) {
 		return 0, errHeldBack
 	}
-	asked := c.clock.Now()
+	sentAt := c.clock.Now()
 	v, err := c.Feed.Update(ctx, key, version, value)
-	c.note("update", key, asked, err)
+	c.recordCall("update", key, sentAt, err)
 	return v, err
 }
 
-// tellEvery is how often the number of calls is logged.
-const tellEvery = 10 * time.Second
+// countsLogInterval is how often the numbers of calls are logged.
+const countsLogInterval = 10 * time.Second
 
-// tell logs the number of calls regularly.
-func (c *countedFeed) tell(ctx context.Context, log *zap.Logger) {
+// logCounts logs the numbers of calls regularly until ctx ends.
+func (c *countedFeed) logCounts(ctx context.Context, log *zap.Logger) {
 	for ctx.Err() == nil {
-		pause.For(ctx, tellEvery)
+		pause.For(ctx, countsLogInterval)
 		c.mu.Lock()
 		fields := make([]zap.Field, 0, len(c.total))
 		for _, name := range slices.Sorted(maps.Keys(c.total)) {
--- a/internal/front/config.go
+++ b/internal/front/config.go
@@ -14,98 +14,98 @@
 	"pearlanding/internal/steady"
 )
 
-// Periods of following the configuration. Every call has its price, and there may
-// be hundreds of daemons; but a watch may hear nothing, so reads alone decide.
+// Times of following the configuration. Every call is charged, and there may be hundreds
+// of daemons; but a watch may receive nothing, so only reads count.
 const (
-	// configPart of the bound on a change, and revokePart of the bound on removed
-	// keys, may pass between two reads; the rest is for slow answers and, for keys,
-	// for a read that is lost.
-	configPart = 0.7
-	revokePart = 0.5
-	// relayPart of that time is what a relay takes: its peers count their proofs from
-	// its reads, and must hear of the next one before they ask themselves.
-	relayPart = 0.5
-	// defaultRead stands in where the deployment sets neither bound.
-	defaultRead = 2 * time.Second
-	// leastPause is kept between any two reads.
-	leastPause = 100 * time.Millisecond
-	// firstPause follows a read that found no configuration. The daemon that plans
-	// asks again after leastPause: groups should form as soon as there is one. One that
-	// hears of the first through a relay waits for that.
-	firstPause   = 500 * time.Millisecond
-	firstRelayed = 2 * time.Second
-	// bootstrapPatience is how long a daemon waits for a relay's word before its first read
-	// where all start together for the first time, before any caller: with it the read may be
-	// an old one, at a tenth of the price. One that starts later reads at once, as callers wait.
-	bootstrapPatience = 2 * time.Second
+	// configReadShare of the bound on a change, and revokeReadShare of the bound on removed
+	// keys, may pass between two reads; the rest is for slow answers and, for keys, for a
+	// lost read.
+	configReadShare = 0.7
+	revokeReadShare = 0.5
+	// relayReadShare of that time passes between the reads of a relay: its peers date their
+	// proofs by its reads, and must receive the next one before they read themselves.
+	relayReadShare = 0.5
+	// defaultReadInterval applies where the deployment sets neither bound.
+	defaultReadInterval = 2 * time.Second
+	// minReadPause is the minimum pause between any two reads.
+	minReadPause = 100 * time.Millisecond
+	// firstConfigPause is the pause after a read that found no configuration, and
+	// firstConfigRelayedPause that of a daemon whose relay announces the first one. The planner
+	// reads again after minReadPause, so that groups form as soon as there is a configuration.
+	firstConfigPause        = 500 * time.Millisecond
+	firstConfigRelayedPause = 2 * time.Second
+	// bootstrapWait is how long a daemon waits for a relay's confirmation before its first read
+	// where all start together for the first time, before any caller: with it a stale read, at a
+	// tenth of the price, is enough. A daemon that starts later reads at once, as callers wait.
+	bootstrapWait = 2 * time.Second
 )
 
-// readEvery is how often the whole configuration is read: each read is both the
-// news and the proof that there is none.
-func readEvery(b Bounds) time.Duration {
-	every := defaultRead
+// readInterval returns how often the whole configuration is read: a read either brings a
+// change or proves that there is none.
+func readInterval(b Bounds) time.Duration {
+	every := defaultReadInterval
 	if b.Config > 0 {
-		every = min(every, time.Duration(configPart*float64(b.Config)))
+		every = min(every, time.Duration(configReadShare*float64(b.Config)))
 	}
 	if b.Revoke > 0 {
-		every = min(every, time.Duration(revokePart*float64(b.Revoke)))
+		every = min(every, time.Duration(revokeReadShare*float64(b.Revoke)))
 	}
 	return every
 }
 
-// configFollower keeps the configuration in force. Within its life it never goes
-// back to an older version, whatever order answers arrive in. Run owns its state.
+// configFollower keeps the configuration in force. It never goes back to an older version,
+// whatever the order in which answers arrive. Run owns its state.
 //
-// Its reads are also this daemon's question whether the store answers: each is answered at
-// once, whatever there is to tell. One without an answer is not waited for, as it may be lost.
+// Its reads also probe whether the store answers: a read is answered at once, whether anything
+// changed or not. The next read does not wait for an unanswered one, which may be lost.
 type configFollower struct {
-	clock   *steady.Clock // nil: this machine's
-	feed    objectapi.Feed
-	key     string
-	decode  func(value []byte) (*routes.Config, error)
-	log     *zap.Logger
-	version uint64 // of the store's object
-	lost    bool
-	bounds  func() Bounds
-	changed func() // called after another configuration came into force
-	// noted, if set, is told of every read: the object's version and when it was
-	// asked for. serving, if set, tells that peers count on these reads.
-	noted   func(version uint64, asked time.Time)
+	clock       *steady.Clock // nil: this machine's
+	feed        objectapi.Feed
+	key         string
+	decode      func(value []byte) (*routes.Config, error)
+	log         *zap.Logger
+	version     uint64 // of the store's object
+	unreachable bool
+	bounds      func() Bounds
+	changed     func() // called after another configuration came into force
+	// onRead, if set, is called after every successful read with the object's version and the
+	// time since when it is proved. serving, if set, reports whether peers rely on these reads.
+	onRead  func(version uint64, provedAt time.Time)
 	serving func() bool
-	// planning, if set, tells that this daemon forms the groups.
+	// planning, if set, reports whether this daemon forms the groups.
 	planning func() bool
-	// relayed, if set, tells that other daemons' words come through a relay; startPatience
-	// is how long the first is waited for, 0: not at all.
-	relayed       func() bool
-	startPatience time.Duration
-	// probeEvery, if set, is the most time between two reads that get no answer.
-	probeEvery func() time.Duration
-	heard      chan confirmation
-	back       chan struct{} // another daemon says that the store is back
-	current    atomic.Pointer[gateway.Config]
-	reads      readSchedule // owned by Run
+	// hasRelay, if set, reports whether confirmations arrive through a relay; startWait is how
+	// long Run waits for the first one, 0: not at all.
+	hasRelay  func() bool
+	startWait time.Duration
+	// maxProbeInterval, if set, returns the maximum time between two unanswered reads.
+	maxProbeInterval func() time.Duration
+	confirmations    chan confirmation
+	recovered        chan struct{} // another daemon reported that the store answers again
+	current          atomic.Pointer[gateway.Config]
+	schedule         readSchedule // owned by Run
 }
 
-// confirmation is another daemon's word that the configuration's object had a
-// version at a time.
+// confirmation is another daemon's report that the configuration's object had a version at a
+// time.
 type confirmation struct {
-	version uint64
-	proved  time.Time
+	version  uint64
+	provedAt time.Time
 }
 
-// confirm takes in another daemon's word. It never blocks; only the newest counts.
-func (f *configFollower) confirm(version uint64, proved time.Time) {
+// confirm passes another daemon's confirmation to Run. It never blocks; only the newest is kept.
+func (f *configFollower) confirm(version uint64, provedAt time.Time) {
 	select {
-	case <-f.heard:
+	case <-f.confirmations:
 	default:
 	}
 	select {
-	case f.heard <- confirmation{version, proved}:
+	case f.confirmations <- confirmation{version, provedAt}:
 	default:
 	}
 }
 
-// Current returns the configuration in force; its table is nil before the first.
+// Current returns the configuration in force; its routing table is nil before the first one.
 func (f *configFollower) Current() gateway.Config {
 	if c := f.current.Load(); c != nil {
 		return *c
@@ -113,22 +113,23 @@
 	return gateway.Config{}
 }
 
-// Table returns the table in force, or nil.
+// Table returns the routing table in force, or nil.
 func (f *configFollower) Table() *routes.Table { return f.Current().Table }
 
-// returned takes in another daemon's word that the store is back. It never blocks.
-func (f *configFollower) returned() {
+// storeRecovered passes to Run that another daemon reported that the store answers again. It
+// never blocks.
+func (f *configFollower) storeRecovered() {
 	select {
-	case f.back <- struct{}{}:
+	case f.recovered <- struct{}{}:
 	default:
 	}
 }
 
-// Run follows until ctx ends.
+// Run keeps the configuration current until ctx ends.
 func (f *configFollower) Run(ctx context.Context) {
 	results := make(chan readResult)
-	f.reads.hint = f.awaitHint(ctx)
-	f.ask(ctx, results)
+	f.schedule.hint = f.awaitFirstHint(ctx)
+	f.sendRead(ctx, results)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
@@ -136,26 +137,26 @@
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-			f.ask(ctx, results)
-		case <-f.clock.Resumed(): // the timer stood still
-		case <-f.back:
-			f.reads.unanswered = 0
-		case c := <-f.heard:
-			f.hear(c)
+			f.sendRead(ctx, results)
+		case <-f.clock.Resumed(): // the timer did not run during the suspension
+		case <-f.recovered:
+			f.schedule.unanswered = 0
+		case c := <-f.confirmations:
+			f.applyConfirmation(c)
 		case r := <-results:
-			f.finish(r)
+			f.applyRead(r)
 		}
 	}
 }
 
-// ask sends a read, without waiting for its answer, if one is due.
-func (f *configFollower) ask(ctx context.Context, results chan<- readResult) {
+// sendRead sends a read if one is due; its answer arrives in results.
+func (f *configFollower) sendRead(ctx context.Context, results chan<- readResult) {
 	now := f.clock.Now()
 	if now.Before(f.due()) {
 		return
 	}
-	f.reads.sent(now)
-	hint := f.reads.hint
+	f.schedule.recordSent(now)
+	hint := f.schedule.hint
 	go func() {
 		r := f.read(ctx, hint)
 		select {
@@ -165,136 +166,137 @@
 	}()
 }
 
-// hear takes in another daemon's word.
-func (f *configFollower) hear(c confirmation) {
+// applyConfirmation applies another daemon's confirmation: it is a hint to read if it names a
+// newer version, a proof if it names the one in force.
+func (f *configFollower) applyConfirmation(c confirmation) {
 	if c.version > f.version {
-		f.reads.hint = &c
+		f.schedule.hint = &c
 		return
 	}
-	f.confirmed(c)
+	f.renewProof(c)
 }
 
-// finish takes in how a read ended.
-func (f *configFollower) finish(r readResult) {
-	f.reads.ended(r)
-	f.takeFrom(r.source, r.object, r.err, r.proved)
+// applyRead applies the result of a read.
+func (f *configFollower) applyRead(r readResult) {
+	f.schedule.recordResult(r)
+	f.apply(r.source, r.object, r.err, r.provedAt)
 }
 
-// due is when the next read is to be sent.
+// due returns when the next read is to be sent.
 func (f *configFollower) due() time.Time {
-	most := probeAlone
-	if f.probeEvery != nil {
-		most = f.probeEvery()
+	maxInterval := maxProbeIntervalDirect
+	if f.maxProbeInterval != nil {
+		maxInterval = f.maxProbeInterval()
 	}
-	return f.reads.due(f.version, f.Current().Proved, readPace{every: f.interval(), untilFirst: f.untilFirst(), most: most})
+	return f.schedule.due(f.version, f.Current().Proved, readPauses{renewAfter: f.interval(), noConfigPause: f.noConfigPause(), maxProbeInterval: maxInterval})
 }
 
-// awaitHint waits at the start for another daemon's word, as long as none counts on this one.
-func (f *configFollower) awaitHint(ctx context.Context) *confirmation {
-	for end := f.clock.Now().Add(f.startPatience); ctx.Err() == nil && f.clock.Now().Before(end); {
+// awaitFirstHint waits up to startWait for another daemon's confirmation, but not while peers
+// rely on this daemon's reads.
+func (f *configFollower) awaitFirstHint(ctx context.Context) *confirmation {
+	for end := f.clock.Now().Add(f.startWait); ctx.Err() == nil && f.clock.Now().Before(end); {
 		if f.serving != nil && f.serving() {
 			return nil
 		}
 		select {
-		case c := <-f.heard:
+		case c := <-f.confirmations:
 			return &c
-		case <-time.After(leastPause):
+		case <-time.After(minReadPause):
 		case <-ctx.Done():
 		}
 	}
 	return nil
 }
 
-// read reads the configuration. With another daemon's word that there is a newer version an
-// old read is enough if it shows that version or one after it: what was current then is not
-// newer. Each change is read by all daemons.
+// read reads the configuration. If another daemon confirmed a newer version, a stale read that
+// shows that version or a later one is enough: the version current at the confirmation's time
+// is no newer. All daemons read each change, and stale reads are cheaper.
 func (f *configFollower) read(ctx context.Context, hint *confirmation) readResult {
 	if hint != nil {
 		o, err := f.feed.GetStale(ctx, f.key)
 		if errors.Is(err, objectapi.ErrUnavailable) {
-			return readResult{source: sourceOldRead, err: err}
+			return readResult{source: sourceStaleRead, err: err}
 		}
 		if err == nil && o.Version >= hint.version {
-			return readResult{source: sourceOldRead, object: o, proved: hint.proved}
+			return readResult{source: sourceStaleRead, object: o, provedAt: hint.provedAt}
 		}
 	}
-	asked := f.clock.Now()
+	sentAt := f.clock.Now()
 	o, err := f.feed.Get(ctx, f.key)
-	return readResult{source: sourceRead, object: o, proved: asked, err: err}
+	return readResult{source: sourceRead, object: o, provedAt: sentAt, err: err}
 }
 
-// interval is the time between two reads, as long as nobody else confirms what is
-// in force.
+// interval returns the time between two reads while no other daemon confirms the version in
+// force.
 func (f *configFollower) interval() time.Duration {
-	every := readEvery(f.bounds())
+	every := readInterval(f.bounds())
 	if f.serving != nil && f.serving() {
-		every = time.Duration(relayPart * float64(every))
+		every = time.Duration(relayReadShare * float64(every))
 	}
 	return every
 }
 
-// untilFirst is the pause after a read that found no configuration.
-func (f *configFollower) untilFirst() time.Duration {
+// noConfigPause returns the pause after a read that found no configuration.
+func (f *configFollower) noConfigPause() time.Duration {
 	switch {
 	case f.planning != nil && f.planning():
-		return leastPause
-	case f.relayed != nil && f.relayed():
-		return firstRelayed
+		return minReadPause
+	case f.hasRelay != nil && f.hasRelay():
+		return firstConfigRelayedPause
 	}
-	return firstPause
+	return firstConfigPause
 }
 
-// confirmed makes a confirmation of the version in force its proof; false: it is
-// no news.
-func (f *configFollower) confirmed(c confirmation) bool {
+// renewProof makes a confirmation of the version in force its proof. It returns false if the
+// confirmation is of another version or not newer than the proof.
+func (f *configFollower) renewProof(c confirmation) bool {
 	current := f.Current()
-	if c.version != f.version || current.Table == nil || !c.proved.After(current.Proved) {
+	if c.version != f.version || current.Table == nil || !c.provedAt.After(current.Proved) {
 		return false
 	}
-	f.current.Store(&gateway.Config{Table: current.Table, Proved: c.proved})
+	f.current.Store(&gateway.Config{Table: current.Table, Proved: c.provedAt})
 	return true
 }
 
-// take takes one whole read. asked is when it was sent: it proves what it shows from
-// then on.
-func (f *configFollower) take(o objectapi.Object, err error, asked time.Time) {
-	f.takeFrom(sourceRead, o, err, asked)
+// applyCurrentRead applies one current read, sent at a time: it proves its content since then.
+func (f *configFollower) applyCurrentRead(o objectapi.Object, err error, sentAt time.Time) {
+	f.apply(sourceRead, o, err, sentAt)
 }
 
-// takeFrom takes one read, which proves what it shows from a time on.
-func (f *configFollower) takeFrom(source readSource, o objectapi.Object, err error, asked time.Time) {
+// apply applies one read that proves its content since a time.
+func (f *configFollower) apply(source readSource, o objectapi.Object, err error, provedAt time.Time) {
 	if err != nil {
-		if !f.lost && !errors.Is(err, objectapi.ErrNotFound) {
-			f.lost = true
+		if !f.unreachable && !errors.Is(err, objectapi.ErrNotFound) {
+			f.unreachable = true
 			f.log.Warn("store not reached", zap.String("decision", "keep_configuration"), zap.Uint64("version", f.version), zap.Error(err))
 		}
 		return
 	}
-	if f.noted != nil {
-		f.noted(o.Version, asked)
+	if f.onRead != nil {
+		f.onRead(o.Version, provedAt)
 	}
-	if f.lost {
-		f.lost = false
-		f.log.Info("store reached again", zap.Uint64("version", o.Version), zap.Int64("asked_ms_ago", f.clock.Since(asked).Milliseconds()))
+	if f.unreachable {
+		f.unreachable = false
+		f.log.Info("store reached again", zap.Uint64("version", o.Version), zap.Int64("asked_ms_ago", f.clock.Since(provedAt).Milliseconds()))
 	}
 	switch {
 	case o.Version < f.version:
 		f.log.Warn("older configuration ignored", zap.Uint64("version", o.Version), zap.Uint64("in_force", f.version))
 		return
 	case o.Version == f.version:
-		f.confirmed(confirmation{o.Version, asked})
+		f.renewProof(confirmation{o.Version, provedAt})
 		return
 	}
 	c, err := f.decode(o.Value)
 	if err != nil {
-		f.log.Error("configuration not understood; the last one stays, without proof", zap.Uint64("version", o.Version), zap.Error(err))
+		f.log.Error("cannot decode configuration; the last one stays in force, without proof", zap.Uint64("version", o.Version), zap.Error(err))
 		return
 	}
 	before := f.Current()
 	f.version = o.Version
-	f.current.Store(&gateway.Config{Table: routes.Compile(c), Proved: asked})
+	f.current.Store(&gateway.Config{Table: routes.Compile(c), Proved: provedAt})
 	f.log.Info("configuration in force", zap.Uint64("object_version", o.Version), zap.Uint64("config_version", c.Version),
-		zap.String("source", string(source)), zap.Int64("proved_ms_ago", f.clock.Since(asked).Milliseconds()),
+		zap.String("source", string(source)), zap.Int64("proved_ms_ago", f.clock.Since(provedAt).Milliseconds()),
 		zap.Uint64("before", before.Version()), zap.Int64("before_proved_ms_ago", f.clock.Since(before.Proved).Milliseconds()),
 		zap.Int("routes", len(c.Routes)), zap.Int("workspaces", len(c.Workspaces)))
 	f.changed()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,7 @@
-// Package front wires one daemon that serves opaque requests on somebody else's
+// Package front assembles one daemon that serves opaque requests on a foreign
 // platform: it follows the configuration and the instances in an object store,
 // serves callers through package gateway, and takes part in forming groups. The
-// platform itself is met through the functions and interfaces of Outside.
+// platform itself is reached through the functions and interfaces of Outside.
 package front
 
 import (
@@ -33,7 +33,7 @@
 	"pearlanding/internal/upstream"
 )
 
-// Outside is all that the daemon needs of the platform it runs on.
+// Outside is everything that the daemon needs from the platform it runs on.
 type Outside struct {
 	Feed           objectapi.Feed
 	ConfigKey      string
@@ -45,49 +45,50 @@
 	Orders         func(*upstream.Pool, Hear) (formation.Orders, formation.Prober)
 }
 
-// Hear takes in what an instance says of itself in an answer to an order or a probe.
+// Hear receives the backpressure signals that an instance sent in an answer to an order or a
+// probe.
 type Hear func(instance string, s backpressure.Signals)
 
-// Objects of our own in the store.
+// Objects in the store that the daemons own.
 const (
 	// leaseKey holds the lease of the daemon that plans groups.
 	leaseKey = "pearlanding-leases/groups"
-	// relayKind holds the record of each zone's relay, by the zone's name, and RefusedKey:
-	// who looks for its relay reads both in one call.
+	// relayKind holds the record of each zone's relay, by the zone's name, and RefusedKey: a
+	// daemon that looks for its relay reads both in one call.
 	relayKind = "pearlanding-relays"
-	// RefusedKey holds the requests that are refused as they ended instances.
+	// RefusedKey holds the requests that are refused because they crashed instances.
 	RefusedKey = relayKind + "/refused-requests"
 )
 
-// Figures of the daemon.
+// Limits and intervals of the daemon.
 const (
-	// connectTimeout bounds a new connection to an instance. Links take a few
-	// milliseconds; a dropped opening packet is sent again only after a second.
+	// connectTimeout bounds the opening of a connection to an instance. Links take a few
+	// milliseconds; a lost SYN is retransmitted only after a second.
 	connectTimeout = 400 * time.Millisecond
-	// idleConnection is how long an idle connection to an instance is kept.
-	idleConnection = 4 * time.Second
-	// callerIdle bounds an idle caller's connection while no configuration says so.
-	callerIdle = 2 * time.Minute
-	// headerTimeout bounds the reading of a request's head likewise.
+	// idleConnTimeout is how long an idle connection to an instance is kept.
+	idleConnTimeout = 4 * time.Second
+	// callerIdleTimeout is how long an idle connection of a caller is kept.
+	callerIdleTimeout = 2 * time.Minute
+	// headerTimeout bounds the reading of a request's headers.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes bounds a request's head, whatever the configuration allows.
+	// maxHeaderBytes bounds a request's headers, whatever the configuration allows.
 	maxHeaderBytes = 64 << 10
-	sweepEvery     = time.Second
-	// memoryShare is the part of the process's memory at which the collector works
-	// harder.
-	memoryShare = 0.6
-	// proofMargin is taken off the age up to which a configuration's proof counts.
+	sweepInterval  = time.Second
+	// memoryLimitShare is the part of the process's memory that is set as the memory limit of the
+	// garbage collector.
+	memoryLimitShare = 0.6
+	// proofMargin is subtracted from the age up to which a configuration's proof counts.
 	proofMargin = 100 * time.Millisecond
 )
 
 // Times of a planned stop, from the signal on.
 const (
-	// listenOn is how long new connections are still taken: two questions a second
-	// apart must be missed before none come.
-	listenOn = 2500 * time.Millisecond
-	// stopMargin is left of the grace when requests still in progress are cut.
+	// stopListenDelay is how long new connections are still accepted: two readiness checks, a
+	// second apart, must fail before none arrive.
+	stopListenDelay = 2500 * time.Millisecond
+	// stopMargin is the rest of the grace at which requests still in progress are cut off.
 	stopMargin = 300 * time.Millisecond
-	// defaultGrace stands in where the deployment names none.
+	// defaultGrace applies where the deployment sets no grace.
 	defaultGrace = 8 * time.Second
 )
 
@@ -97,50 +98,51 @@
 	Outside  Outside
 	Log      *zap.Logger
 	Metrics  *metrics.Set
-	// Clock tells the time; nil: a new clock of this machine.
-	Clock *steady.Clock
-	run   *steady.RunClock
-	// MetricsAddress serves the metrics at /metrics; empty: not served.
+	// Clock is the daemon's clock; nil: a new clock of this machine.
+	Clock    *steady.Clock
+	runClock *steady.RunClock
+	// MetricsAddress is the address that serves /metrics; empty: not served.
 	MetricsAddress string
 
-	config   *configFollower
-	fleet    *fleet.Follower
-	pool     *upstream.Pool
-	picker   *dispatch.Picker
-	budgets  dispatch.Budgets
-	gateway  *gateway.Gateway
-	calls    *countedFeed
-	relay    *relay.Node // nil: this daemon has no address for peers
-	peers    *relay.Peers
-	survey   *relay.Survey
-	surveyed chan struct{} // the survey found an instance that stands still
-	lease    *formation.Lease
-	watch    *quarantine.Watch
-	gate     *backpressure.Gate
-	sharing  atomic.Int64 // daemons that told their loads last
-	keeper   *quarantine.Keeper
-	stopping atomic.Bool
-	started  time.Time
-	// refusedKnown: the store's record of refused requests was looked for in this life.
-	refusedKnown atomic.Bool
-	// dial connects to other daemons, uniform draws a duration in [least, most); replaced by
-	// tests, nil otherwise.
+	config        *configFollower
+	instances     *fleet.Follower
+	pool          *upstream.Pool
+	picker        *dispatch.Picker
+	budgets       dispatch.Budgets
+	gateway       *gateway.Gateway
+	calls         *countedFeed
+	relay         *relay.Node // nil: this daemon has no address for peers
+	peers         *relay.Peers
+	survey        *relay.Survey
+	stallFound    chan struct{} // receives a value when the survey found a stalled instance
+	lease         *formation.Lease
+	watch         *quarantine.Watch
+	gate          *backpressure.Gate
+	loadReporters atomic.Int64 // number of daemons in the last report of loads
+	keeper        *quarantine.Keeper
+	stopping      atomic.Bool
+	startedAt     time.Time
+	// refusedLoaded: this process has read the store's record of refused requests, or found none.
+	refusedLoaded atomic.Bool
+	// dial connects to other daemons, nil: by TCP; uniform draws a duration in [low, high).
+	// Tests replace both.
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	uniform func(least, most time.Duration) time.Duration
+	uniform func(low, high time.Duration) time.Duration
 }
 
-// Run serves until ctx ends, then stops in order: not ready at once, no new
-// connections after a while, requests in progress finished within the grace.
+// Run serves until ctx ends, then stops in order: it reports not ready at once, accepts no
+// new connections after stopListenDelay, and finishes requests in progress within the grace.
+// It returns an error if an address cannot be listened on.
 func (d *Daemon) Run(ctx context.Context) error {
 	s := d.Settings()
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryLimitShare * (1 << 20)))
 	}
 	if d.Clock == nil {
 		d.Clock = steady.NewClock()
 	}
 	holder := s.Node + "/" + uuid.NewString()
-	d.started = d.Clock.Now()
+	d.startedAt = d.Clock.Now()
 	peers := d.listenForPeers(&s)
 	d.build(s, holder)
 	callers, err := net.Listen("tcp", s.Callers)
@@ -162,7 +164,7 @@
 		go d.answerPeers(work, peers)
 		defer d.peers.Close()
 	}
-	wait := d.background(ctx, work)
+	wait := d.startLoops(ctx, work)
 	d.Log.Info("started", zap.String("node", s.Node), zap.String("zone", s.Zone), zap.String("callers", s.Callers))
 	<-ctx.Done()
 	d.stop(server)
@@ -173,55 +175,55 @@
 
 func (d *Daemon) build(s Settings, holder string) {
 	if d.uniform == nil {
-		d.uniform = func(least, most time.Duration) time.Duration { return least + rand.N(most-least) }
+		d.uniform = func(low, high time.Duration) time.Duration { return low + rand.N(high-low) }
 	}
-	d.run = steady.NewRunClock(d.Clock)
-	belief := fleet.NewBelief(s.Heartbeat, d.modelSize)
-	belief.LeadsFor = d.drainPart(leadsPart, 0)
-	d.calls = newCountedFeed(d.Outside.Feed, d.Outside.ConfigKey, belief.Reachability(), d.Metrics, d.Log)
+	d.runClock = steady.NewRunClock(d.Clock)
+	state := fleet.NewBelief(s.Heartbeat, d.modelSize)
+	state.LeadsFor = d.drainShare(headGraceShare, 0)
+	d.calls = newCountedFeed(d.Outside.Feed, d.Outside.ConfigKey, state.Reachability(), d.Metrics, d.Log)
 	d.calls.clock = d.Clock
 	d.Outside.Feed = d.calls
 	d.config = &configFollower{clock: d.Clock, feed: d.Outside.Feed, key: d.Outside.ConfigKey, decode: d.Outside.DecodeConfig, log: d.Log,
-		bounds: func() Bounds { return d.Settings().Bounds }, heard: make(chan confirmation, 1), back: make(chan struct{}, 1), probeEvery: d.probeEvery}
+		bounds: func() Bounds { return d.Settings().Bounds }, confirmations: make(chan confirmation, 1), recovered: make(chan struct{}, 1), maxProbeInterval: d.maxProbeInterval}
 	d.lease = &formation.Lease{Clock: d.Clock, Feed: d.Outside.Feed, Key: leaseKey, Holder: holder, Log: d.Log}
 	d.config.planning = d.planning
 	d.picker = dispatch.NewPicker(s.Zone, rand.IntN)
-	d.pool = upstream.NewPool(connectTimeout, idleConnection)
-	d.pool.Clock, d.pool.RunClock = d.Clock, d.run
+	d.pool = upstream.NewPool(connectTimeout, idleConnTimeout)
+	d.pool.Clock, d.pool.RunClock = d.Clock, d.runClock
 	d.buildQuarantine(s)
-	d.gate = backpressure.NewGate(func() int { return int(d.sharing.Load()) }, d.uniform, d.Log)
+	d.gate = backpressure.NewGate(func() int { return int(d.loadReporters.Load()) }, d.uniform, d.Log)
 	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_limited", func() float64 { return float64(len(d.gate.Limited())) })
 	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_resting", func() float64 { return float64(d.gate.Resting(d.Clock.Now())) })
 	entries := d.Outside.Feed
 	if s.Peers != "" {
 		d.relay = d.newRelay(s, holder)
-		entries, d.config.noted, d.config.serving, d.config.relayed = d.relay, d.relay.NoteConfig, d.relay.Serving, d.relay.Relayed
+		entries, d.config.onRead, d.config.serving, d.config.hasRelay = d.relay, d.relay.NoteConfig, d.relay.Serving, d.relay.Relayed
 		if s.Bootstrap {
-			d.config.startPatience = bootstrapPatience
+			d.config.startWait = bootstrapWait
 		}
 	}
-	d.fleet = fleet.NewFollower(entries, d.Outside.InstancesKind, d.Outside.DecodeInstance, belief, d.Log)
-	d.fleet.Clock = d.Clock
-	d.config.changed = d.fleet.SizesChanged
+	d.instances = fleet.NewFollower(entries, d.Outside.InstancesKind, d.Outside.DecodeInstance, state, d.Log)
+	d.instances.Clock = d.Clock
+	d.config.changed = d.instances.SizesChanged
 	d.Metrics.GetOrCreateGauge("pearlanding_config_proof_age_seconds", func() float64 { return d.Clock.Since(d.config.Current().Proved).Seconds() })
 	d.Metrics.GetOrCreateGauge("pearlanding_config_version", func() float64 { return float64(d.config.Current().Version()) })
-	d.Metrics.GetOrCreateGauge("pearlanding_store_absent_seconds", d.absentSeconds)
+	d.Metrics.GetOrCreateGauge("pearlanding_store_absent_seconds", d.outageSeconds)
 	d.Metrics.GetOrCreateGauge("pearlanding_suspended_seconds", func() float64 { return d.Clock.Suspended().Seconds() })
-	d.Metrics.GetOrCreateGauge("pearlanding_late_seconds", func() float64 { return d.run.Late().Seconds() })
-	d.Metrics.GetOrCreateGauge("pearlanding_follows_instances", func() float64 { return float64(d.following()) })
+	d.Metrics.GetOrCreateGauge("pearlanding_late_seconds", func() float64 { return d.runClock.Late().Seconds() })
+	d.Metrics.GetOrCreateGauge("pearlanding_follows_instances", func() float64 { return float64(d.followMode()) })
 	d.Metrics.GetOrCreateGauge("pearlanding_upstream_connections_opened", func() float64 { return float64(d.pool.Opened()) })
 }
 
-// absentSeconds is for how long the store has answered no call of this daemon.
-func (d *Daemon) absentSeconds() float64 {
-	since, lost := d.calls.reach.UnreachableSince()
-	if !lost {
+// outageSeconds returns for how long the store has answered no call of this daemon.
+func (d *Daemon) outageSeconds() float64 {
+	since, unreachable := d.calls.reachability.UnreachableSince()
+	if !unreachable {
 		return 0
 	}
 	return d.Clock.Since(since).Seconds()
 }
 
-// modelSize tells how many instances a replica of a model takes.
+// modelSize returns how many instances a replica of a model takes; 0: unknown.
 func (d *Daemon) modelSize(service, model string) int {
 	table := d.config.Table()
 	if table == nil {
@@ -230,36 +232,36 @@
 	return table.ModelSize(service, model)
 }
 
-// background starts all loops. Planning ends with ctx, the rest with work, as
-// requests in progress still need it. It returns a wait for their end.
-func (d *Daemon) background(ctx, work context.Context) (wait func()) {
+// startLoops starts all loops. Planning ends with ctx, the others with work, as
+// requests in progress still need them. It returns a function that waits for their end.
+func (d *Daemon) startLoops(ctx, work context.Context) (wait func()) {
 	var group sync.WaitGroup
 	run := func(ctx context.Context, f func(context.Context)) {
 		group.Go(func() { f(ctx) })
 	}
-	manager := d.manager()
-	d.fleet.UpdatePause = d.pace
-	run(work, d.run.Run)
-	run(work, d.tellLateness)
+	manager := d.newManager()
+	d.instances.UpdatePause = d.updatePause
+	run(work, d.runClock.Run)
+	run(work, d.logLateness)
 	run(work, d.config.Run)
-	run(work, d.fleet.Run)
+	run(work, d.instances.Run)
 	run(work, d.sweep)
-	run(work, func(ctx context.Context) { d.calls.tell(ctx, d.Log) })
+	run(work, func(ctx context.Context) { d.calls.logCounts(ctx, d.Log) })
 	run(work, d.keeper.Run)
-	run(work, d.passOn)
-	run(work, d.tellSuspensions)
+	run(work, d.forwardEvidence)
+	run(work, d.logSuspensions)
 	if d.survey != nil {
-		run(work, d.spread().Run)
+		run(work, d.newSpread().Run)
 		run(ctx, d.survey.Run)
-		run(work, d.exchange().Run)
+		run(work, d.newExchange().Run)
 	}
 	run(ctx, manager.Run)
 	return group.Wait
 }
 
-// hear takes in what an instance that this daemon knows says of itself.
-func (d *Daemon) hear(instance string, s backpressure.Signals) {
-	view := d.fleet.View()
+// observeSignals passes the signals of an instance that this daemon knows to the gate.
+func (d *Daemon) observeSignals(instance string, s backpressure.Signals) {
+	view := d.instances.View()
 	if view == nil {
 		return
 	}
@@ -269,15 +271,15 @@
 	}
 }
 
-func (d *Daemon) manager() *formation.Manager {
-	orders, prober := d.Outside.Orders(d.pool, d.hear)
+func (d *Daemon) newManager() *formation.Manager {
+	orders, prober := d.Outside.Orders(d.pool, d.observeSignals)
 	return &formation.Manager{
-		Clock: d.Clock, RunClock: d.run,
-		Lease: d.lease, Orders: orders, Prober: prober, Still: d.still, Stopped: d.surveyed,
-		View: d.fleet.View, Changed: d.fleet.Changed(), Proved: d.fleet.ProvedAt, Refresh: d.fleet.Refresh, Table: d.config.Table,
+		Clock: d.Clock, RunClock: d.runClock,
+		Lease: d.lease, Orders: orders, Prober: prober, Still: d.stalledHeads, Stopped: d.stallFound,
+		View: d.instances.View, Changed: d.instances.Changed(), Proved: d.instances.ProvedAt, Refresh: d.instances.Refresh, Table: d.config.Table,
 		Idle:    d.gateway.Idle,
-		Relayed: func() bool { return d.following() == followsRelayed },
-		Serving: func() bool { return d.following() == followsForAll },
+		Relayed: func() bool { return d.followMode() == followRelayed },
+		Serving: func() bool { return d.followMode() == followAsRelay },
 		Window:  func() time.Duration { return d.Settings().Bounds.CeilingWindow },
 		FirstLook: func() time.Duration {
 			if d.relay == nil {
@@ -292,10 +294,10 @@
 
 func (d *Daemon) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, sweepEvery)
+		pause.For(ctx, sweepInterval)
 		now := d.Clock.Now()
 		d.pool.Sweep(now)
-		d.picker.Sweep(d.run.Now())
+		d.picker.Sweep(d.runClock.Now())
 		d.watch.Sweep()
 		d.gate.Sweep(now)
 	}
@@ -303,13 +305,13 @@
 
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return &gateway.Gateway{
-		Codec: d.Outside.Codec, Config: d.config.Current, View: d.fleet.View, Bounds: d.bounds,
-		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Watch: d.watch, Gate: d.gate, Clock: d.Clock, RunClock: d.run, Borrow: d.borrow, MayBorrow: d.mayBorrow, Starting: d.starting, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
+		Codec: d.Outside.Codec, Config: d.config.Current, View: d.instances.View, Bounds: d.bounds,
+		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Watch: d.watch, Gate: d.gate, Clock: d.Clock, RunClock: d.runClock, Borrow: d.borrow, MayBorrow: d.mayBorrow, Starting: d.startingUp, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
 	}
 }
 
 func (d *Daemon) callersServer() *http.Server {
-	return &http.Server{Handler: d.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: maxHeaderBytes,
+	return &http.Server{Handler: d.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: zap.NewStdLog(d.Log)}
 }
 
@@ -322,21 +324,22 @@
 	return out
 }
 
-// startHold is how long after its start a daemon holds what comes while it reads what it
-// needs: two or three calls of some ms each. Refused, callers that reach it while all start
-// are refused again where they come back to.
-const startHold = 500 * time.Millisecond
+// startHoldTimeout is how long after its start a daemon holds requests while it reads what it
+// needs: two or three calls of some ms each. While all daemons start, callers that are refused
+// would be refused again by the daemon they retry at.
+const startHoldTimeout = 500 * time.Millisecond
 
-// starting tells whether this daemon will soon know whether it can serve.
-func (d *Daemon) starting() bool {
-	known := d.ready() && (d.relay == nil || d.refusedKnown.Load())
-	return !known && d.Clock.Since(d.started) < startHold
+// startingUp reports whether this daemon has just started and is still reading what it needs to
+// serve.
+func (d *Daemon) startingUp() bool {
+	known := d.ready() && (d.relay == nil || d.refusedLoaded.Load())
+	return !known && d.Clock.Since(d.startedAt) < startHoldTimeout
 }
 
-// ready tells whether this daemon can serve what comes.
+// ready reports whether this daemon can serve requests.
 func (d *Daemon) ready() bool {
 	c := d.config.Current()
-	if d.stopping.Load() || c.Table == nil || d.fleet.View() == nil {
+	if d.stopping.Load() || c.Table == nil || d.instances.View() == nil {
 		return false
 	}
 	revoke := d.bounds().Revoke
@@ -377,7 +380,8 @@
 	}
 }
 
-// stop ends the service in order.
+// stop shuts the daemon down in order: not ready, no new connections, then the end of requests
+// in progress.
 func (d *Daemon) stop(server *http.Server) {
 	begun := d.Clock.Now()
 	d.stopping.Store(true)
@@ -389,7 +393,7 @@
 	if grace <= 0 {
 		grace = defaultGrace
 	}
-	listen := min(listenOn, grace/2)
+	listen := min(stopListenDelay, grace/2)
 	time.Sleep(listen)
 	ctx, cancel := context.WithTimeout(context.Background(), d.Clock.Until(begun.Add(grace-stopMargin)))
 	defer cancel()
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -12,110 +12,111 @@
 	"github.com/shoenig/test/must"
 )
 
-// leavingJudge watches a zone for daemons in touch that do not know of an entry in time.
-type leavingJudge struct {
-	zone    *simZone
-	ctx     context.Context
-	chance  *rand.Rand
-	mu      sync.Mutex
-	since   []time.Time       // since when each daemon is in touch; zero: it is not
-	dead    map[int]time.Time // daemons whose process ended, with when the next one begins
-	entries []change          // of instances that leave
-	worst   time.Duration
-	fault   string
-	tick    func() // called with each look; nil: nothing else is played
+// leavingChecker checks a zone for daemons in touch that do not receive an entry in time. A
+// daemon is in touch while its process runs and reaches the store and the other daemons.
+type leavingChecker struct {
+	zone         *simZone
+	ctx          context.Context
+	rng          *rand.Rand
+	mu           sync.Mutex
+	inTouchSince []time.Time          // since when each daemon has been in touch; zero: it is not
+	restartAt    map[int]time.Time    // daemons whose process ended, with the start time of the next one
+	leaving      []acknowledgedChange // entries of leaving instances
+	maxDelay     time.Duration
+	worstCase    string
+	tick         func() // called after each check; nil: none
 }
 
-// run lets time pass, changes entries of other instances meanwhile, and looks at every daemon.
-func (j *leavingJudge) run(d time.Duration) {
+// run lets time pass, changes entries of other instances meanwhile, and checks every daemon.
+func (j *leavingChecker) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(20 * time.Millisecond)
-		j.start()
-		if j.chance.IntN(8) == 0 {
-			j.zone.store.entry(fmt.Sprint("i-", j.chance.IntN(50)))
+		j.restartDue()
+		if j.rng.IntN(8) == 0 {
+			j.zone.store.writeEntry(fmt.Sprint("i-", j.rng.IntN(50)))
 		}
-		j.look()
+		j.check()
 		if j.tick != nil {
 			j.tick()
 		}
 	}
 }
 
-func (j *leavingJudge) look() {
+func (j *leavingChecker) check() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := time.Now()
 	for i, d := range j.zone.daemons {
-		if j.since[i].IsZero() || now.Sub(j.since[i]) < contact {
+		if j.inTouchSince[i].IsZero() || now.Sub(j.inTouchSince[i]) < inTouchAfter {
 			continue
 		}
-		for _, c := range j.entries {
-			if v := d.fleet.View(); v != nil && v.Revision >= c.version {
+		for _, c := range j.leaving {
+			if v := d.instances.View(); v != nil && v.Revision >= c.version {
 				continue
 			}
-			if late := now.Sub(c.at); late > j.worst {
-				j.worst = late
-				j.fault = fmt.Sprintf("%.2f s: %s does not know version %d of %.2f s ago", now.Sub(j.zone.begun).Seconds(), d.Settings().Node, c.version, late.Seconds())
+			if late := now.Sub(c.at); late > j.maxDelay {
+				j.maxDelay = late
+				j.worstCase = fmt.Sprintf("%.2f s: %s does not know version %d of %.2f s ago", now.Sub(j.zone.startedAt).Seconds(), d.Settings().Node, c.version, late.Seconds())
 			}
 			break
 		}
 	}
 }
 
-// leave lets an instance say that it leaves.
-func (j *leavingJudge) leave() {
-	id := fmt.Sprint("leaves-", len(j.entries))
-	j.zone.store.entry(id)
+// leave writes the entry of another leaving instance.
+func (j *leavingChecker) leave() {
+	id := fmt.Sprint("leaves-", len(j.leaving))
+	j.zone.store.writeEntry(id)
 	j.zone.store.mu.Lock()
 	version := j.zone.store.revision
 	j.zone.store.mu.Unlock()
-	j.entries = append(j.entries, change{version, time.Now()})
+	j.leaving = append(j.leaving, acknowledgedChange{version, time.Now()})
 }
 
-// touch notes that a daemon is in touch again, or not any more.
-func (j *leavingJudge) touch(i int, inTouch bool) {
+// setInTouch records that a daemon is in touch again, or no longer.
+func (j *leavingChecker) setInTouch(i int, inTouch bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.since[i] = time.Time{}
+	j.inTouchSince[i] = time.Time{}
 	if inTouch {
-		j.since[i] = time.Now()
+		j.inTouchSince[i] = time.Now()
 	}
 }
 
-// inTouch tells whether a daemon is in touch.
-func (j *leavingJudge) inTouch(i int) bool {
+// inTouch reports whether a daemon is in touch.
+func (j *leavingChecker) inTouch(i int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return !j.since[i].IsZero()
+	return !j.inTouchSince[i].IsZero()
 }
 
-// kill ends some processes; each begins anew.
-func (j *leavingJudge) kill(daemons ...int) {
+// kill ends some processes; each is restarted after restartDelay.
+func (j *leavingChecker) kill(daemons ...int) {
 	for _, i := range daemons {
-		if _, dead := j.dead[i]; !dead {
-			j.touch(i, false)
+		if _, dead := j.restartAt[i]; !dead {
+			j.setInTouch(i, false)
 			j.zone.kill(i)
-			j.dead[i] = time.Now().Add(restartIn)
+			j.restartAt[i] = time.Now().Add(restartDelay)
 		}
 	}
 }
 
-// restartIn is how long after the end of a process the next one begins.
-const restartIn = 500 * time.Millisecond
+// restartDelay is the time from the end of a process to the start of the next one.
+const restartDelay = 500 * time.Millisecond
 
-// start begins the processes that are due.
-func (j *leavingJudge) start() {
+// restartDue starts the processes that are due.
+func (j *leavingChecker) restartDue() {
 	for i, d := range j.zone.daemons {
-		if at, dead := j.dead[i]; dead && !time.Now().Before(at) {
-			delete(j.dead, i)
-			j.zone.daemons[i] = j.zone.start(j.ctx, d.Settings().Node, j.chance.Uint64(), false)
-			j.touch(i, true)
+		if at, dead := j.restartAt[i]; dead && !time.Now().Before(at) {
+			delete(j.restartAt, i)
+			j.zone.daemons[i] = j.zone.start(j.ctx, d.Settings().Node, j.rng.Uint64(), false)
+			j.setInTouch(i, true)
 		}
 	}
 }
 
-// relay returns the daemon that relays, 0 if none does.
-func (j *leavingJudge) relay() int {
+// relay returns the index of the relay, 0 if there is none.
+func (j *leavingChecker) relay() int {
 	for i, d := range j.zone.daemons {
 		if d.relay.Holding() {
 			return i
@@ -124,66 +125,66 @@
 	return 0
 }
 
-// Guards against daemons in touch that send requests to an instance for longer than the bound
-// after it said that it leaves, while relays die or fall silent and most others start again.
-func TestEveryDaemonKnowsThatAnInstanceLeavesInTimeWhateverFails(t *testing.T) {
+// Guards against daemons in touch that send requests to a leaving instance for longer than the
+// bound, while relays crash or fall silent and most other daemons restart.
+func TestLeavingInstanceIsKnownInTimeDespiteFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				chance := rand.New(rand.NewPCG(seed, 3))
-				z := newSimZone(ctx, t, 2+chance.IntN(20), seed)
-				defer z.end(cancel)
-				j := &leavingJudge{zone: z, ctx: ctx, chance: chance, since: make([]time.Time, len(z.daemons)), dead: map[int]time.Time{}}
+				rng := rand.New(rand.NewPCG(seed, 3))
+				z := newSimZone(ctx, t, 2+rng.IntN(20), seed)
+				defer z.shutdown(cancel)
+				j := &leavingChecker{zone: z, ctx: ctx, rng: rng, inTouchSince: make([]time.Time, len(z.daemons)), restartAt: map[int]time.Time{}}
 				for i := range z.daemons {
-					j.touch(i, true)
+					j.setInTouch(i, true)
 				}
-				j.run(settle)
+				j.run(startupTime)
 				for range 6 {
-					j.trouble()
+					j.injectFault()
 					for range 3 {
 						j.leave()
-						j.run(time.Duration(chance.IntN(800)) * time.Millisecond)
+						j.run(time.Duration(rng.IntN(800)) * time.Millisecond)
 					}
 					j.run(4 * time.Second)
 				}
-				t.Logf("%d daemons: known everywhere after %v", len(z.daemons), j.worst)
-				must.LessEq(t, simBounds.Drain, j.worst, must.Sprint(j.fault, "\n", z.told()))
+				t.Logf("%d daemons: every leaving instance known after %v", len(z.daemons), j.maxDelay)
+				must.LessEq(t, simBounds.Drain, j.maxDelay, must.Sprint(j.worstCase, "\n", z.logText()))
 			})
 		})
 	}
 }
 
-// trouble is one of the kinds of trouble.
-func (j *leavingJudge) trouble() {
+// injectFault injects one fault, chosen at random.
+func (j *leavingChecker) injectFault() {
 	relay, n := j.relay(), len(j.zone.daemons)
 	address := j.zone.daemons[relay].Settings().Peers
-	switch j.chance.IntN(4) {
+	switch j.rng.IntN(4) {
 	case 0: // the relay's process is killed
 		j.kill(relay)
-	case 1: // the relay falls silent for all others
-		j.touch(relay, false)
-		j.zone.net.part(address, true)
-		time.AfterFunc(time.Duration(1+j.chance.IntN(4))*time.Second, func() {
-			j.zone.net.part(address, false)
-			j.touch(relay, true)
+	case 1: // nobody reaches the relay
+		j.setInTouch(relay, false)
+		j.zone.net.setBlocked(address, true)
+		time.AfterFunc(time.Duration(1+j.rng.IntN(4))*time.Second, func() {
+			j.zone.net.setBlocked(address, false)
+			j.setInTouch(relay, true)
 		})
-	case 2: // most are killed together, the relay among them
+	case 2: // most daemons are killed together, the relay among them
 		some := []int{relay}
 		for i := range n {
-			if i != relay && j.chance.IntN(5) < 3 {
+			if i != relay && j.rng.IntN(5) < 3 {
 				some = append(some, i)
 			}
 		}
 		j.kill(some...)
 	case 3: // the relay alone is cut off from the store
-		j.touch(relay, false)
+		j.setInTouch(relay, false)
 		name := j.zone.daemons[relay].Settings().Node
 		j.zone.store.setCut(name, true)
-		time.AfterFunc(time.Duration(1+j.chance.IntN(6))*time.Second, func() {
+		time.AfterFunc(time.Duration(1+j.rng.IntN(6))*time.Second, func() {
 			j.zone.store.setCut(name, false)
-			j.touch(relay, true)
+			j.setInTouch(relay, true)
 		})
 	}
-	j.run(time.Duration(j.chance.IntN(1500)) * time.Millisecond)
+	j.run(time.Duration(j.rng.IntN(1500)) * time.Millisecond)
 }
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -13,32 +13,32 @@
 	"pearlanding/internal/backpressure"
 )
 
-// The rule on instances that name a limit, as the deployments set it.
+// The bound on requests to an instance that announces a limit, as deployments set it.
 const (
 	limitWindow = 4 * time.Second
 	limitRatio  = 1.5
 	limitExtra  = 5
-	// limitTold is how long after an answer with the limit a daemon is held to it, and
-	// limitKnown how long after its start in any case.
-	limitTold  = 500 * time.Millisecond
-	limitKnown = 3 * time.Second
+	// limitDelay is how long after its first answer with the limit a daemon must obey it, and
+	// limitStartDelay how long after its start it must in any case.
+	limitDelay      = 500 * time.Millisecond
+	limitStartDelay = 3 * time.Second
 )
 
-// limitedInstance is one instance that names a limit, before the daemons of a zone.
+// limitedInstance is one instance that announces a limit to the daemons of a zone.
 type limitedInstance struct {
-	j         *leavingJudge
-	perSecond float64 // requests that could go there
-	limit     float64 // 0: none
-	told      map[*Daemon]time.Time
-	born      map[*Daemon]time.Time
-	pending   []func(now time.Time) (done bool)
-	arrived   []time.Time // from daemons that are held to the limit
-	all       int
+	checker     *leavingChecker
+	perSecond   float64 // requests offered to it
+	limit       float64 // 0: none
+	firstAnswer map[*Daemon]time.Time
+	firstSeen   map[*Daemon]time.Time
+	pending     []func(now time.Time) (done bool)
+	counted     []time.Time // arrivals from daemons that must obey the limit
+	total       int
 }
 
-var limitedLife = backpressure.Life{Instance: "i-limited"}
+var limitedIncarnation = backpressure.Life{Instance: "i-limited"}
 
-// tick sends what may be sent, 20 ms after the tick before.
+// tick answers pending requests and offers new ones; it is called every 20 ms.
 func (l *limitedInstance) tick() {
 	now := time.Now()
 	left := l.pending[:0]
@@ -48,90 +48,90 @@
 		}
 	}
 	l.pending = left
-	for i, d := range l.j.zone.daemons {
-		if _, dead := l.j.dead[i]; dead {
+	for i, d := range l.checker.zone.daemons {
+		if _, dead := l.checker.restartAt[i]; dead {
 			continue
 		}
-		if _, known := l.born[d]; !known {
-			l.born[d] = now
+		if _, known := l.firstSeen[d]; !known {
+			l.firstSeen[d] = now
 		}
-		if l.j.chance.Float64() < l.perSecond*0.02/float64(len(l.j.zone.daemons)) {
-			l.send(d, now, l.j.inTouch(i))
+		if l.checker.rng.Float64() < l.perSecond*0.02/float64(len(l.checker.zone.daemons)) {
+			l.send(d, now, l.checker.inTouch(i))
 		}
 	}
 }
 
-// send makes one request if the daemon may. It arrives at once and is answered some ticks later.
-// The rule excuses a daemon that is cut off.
+// send makes one request if the daemon's gate allows it. It arrives at once and is answered some
+// ticks later. The bound does not apply to a daemon that is cut off.
 func (l *limitedInstance) send(d *Daemon, now time.Time, inTouch bool) {
-	if _, ok := d.gate.Take(limitedLife, now); !ok {
+	if _, ok := d.gate.Take(limitedIncarnation, now); !ok {
 		return
 	}
-	l.all++
-	told, known := l.told[d]
-	if inTouch && (known && now.Sub(told) >= limitTold || now.Sub(l.born[d]) >= limitKnown) {
-		l.arrived = append(l.arrived, now)
+	l.total++
+	answeredAt, known := l.firstAnswer[d]
+	if inTouch && (known && now.Sub(answeredAt) >= limitDelay || now.Sub(l.firstSeen[d]) >= limitStartDelay) {
+		l.counted = append(l.counted, now)
 	}
-	limit, answered := l.limit, now.Add(time.Duration(l.j.chance.IntN(150))*time.Millisecond)
+	limit, answered := l.limit, now.Add(time.Duration(l.checker.rng.IntN(150))*time.Millisecond)
 	l.pending = append(l.pending, func(at time.Time) bool {
 		if at.Before(answered) {
 			return false
 		}
-		d.gate.Observe(limitedLife, backpressure.Signals{Limit: limit, Conclusive: true}, now, at)
-		if _, known := l.told[d]; limit > 0 && !known {
-			l.told[d] = at
+		d.gate.Observe(limitedIncarnation, backpressure.Signals{Limit: limit, Conclusive: true}, now, at)
+		if _, known := l.firstAnswer[d]; limit > 0 && !known {
+			l.firstAnswer[d] = at
 		}
 		return true
 	})
 }
 
-// worst returns the most arrivals in a window from a time on.
-func (l *limitedInstance) worst(from time.Time) (most int) {
-	for i, first := range l.arrived {
+// maxInWindow returns the maximum number of arrivals in a window that starts at or after a time.
+func (l *limitedInstance) maxInWindow(from time.Time) (maximum int) {
+	for i, first := range l.counted {
 		n := 0
-		for _, at := range l.arrived[i:] {
+		for _, at := range l.counted[i:] {
 			if at.Sub(first) <= limitWindow {
 				n++
 			}
 		}
 		if !first.Before(from) {
-			most = max(most, n)
+			maximum = max(maximum, n)
 		}
 	}
-	return most
+	return maximum
 }
 
-// Guards against an instance's limit that a zone's daemons exceed together while relays die, fall
-// silent, are cut off and most daemons start again; and against one that outlives its end. The
-// daemons' own exchanges run, over their own calls.
-func TestZoneKeepsALimitTogetherWhateverRelaysDo(t *testing.T) {
+// Guards against a zone's daemons that together exceed an instance's limit while relays crash,
+// fall silent or are cut off and most daemons restart; and against a limit that is still applied
+// after its end. The daemons exchange loads over their own calls.
+func TestZoneKeepsLimitDespiteRelayFaults(t *testing.T) {
 	for daemons, seeds := range map[int]uint64{9: 2, 30: 1} {
 		for seed := range seeds {
 			t.Run(fmt.Sprint(daemons, " daemons, seed ", seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
-					chance := rand.New(rand.NewPCG(seed, 4))
-					z := newSimZoneWith(ctx, t, daemons, seed, func(ctx context.Context, d *Daemon) { go d.exchange().Run(ctx) })
-					defer z.end(cancel)
-					j := &leavingJudge{zone: z, ctx: ctx, chance: chance, since: make([]time.Time, daemons), dead: map[int]time.Time{}}
-					l := &limitedInstance{j: j, perSecond: 60, told: map[*Daemon]time.Time{}, born: map[*Daemon]time.Time{}}
+					rng := rand.New(rand.NewPCG(seed, 4))
+					z := newSimZoneWith(ctx, t, daemons, seed, func(ctx context.Context, d *Daemon) { go d.newExchange().Run(ctx) })
+					defer z.shutdown(cancel)
+					j := &leavingChecker{zone: z, ctx: ctx, rng: rng, inTouchSince: make([]time.Time, daemons), restartAt: map[int]time.Time{}}
+					l := &limitedInstance{checker: j, perSecond: 60, firstAnswer: map[*Daemon]time.Time{}, firstSeen: map[*Daemon]time.Time{}}
 					j.tick = l.tick
-					j.run(settle)
-					l.limit = 0.5 + 3*chance.Float64()
-					named := time.Now()
+					j.run(startupTime)
+					l.limit = 0.5 + 3*rng.Float64()
+					announcedAt := time.Now()
 					j.run(2 * limitWindow)
 					for range 5 {
-						j.trouble()
+						j.injectFault()
 						j.run(limitWindow)
 					}
-					most := l.worst(named.Add(contact))
-					t.Logf("limit %.1f: %d in a window of %.0f allowed; %d requests in all", l.limit, most, limitRatio*l.limit*limitWindow.Seconds()+limitExtra, l.all)
-					must.LessEq(t, limitRatio*l.limit*limitWindow.Seconds()+limitExtra, float64(most), must.Sprint(z.told()))
-					j.run(2 * settle) // the last fault ends, and the zone has a relay again
+					maximum := l.maxInWindow(announcedAt.Add(inTouchAfter))
+					t.Logf("limit %.1f: %d in a window of %.0f allowed; %d requests in all", l.limit, maximum, limitRatio*l.limit*limitWindow.Seconds()+limitExtra, l.total)
+					must.LessEq(t, limitRatio*l.limit*limitWindow.Seconds()+limitExtra, float64(maximum), must.Sprint(z.logText()))
+					j.run(2 * startupTime) // the last fault ends, and the zone has a relay again
 					l.limit = 0
 					j.run(10 * time.Second)
 					for i, d := range z.daemons {
-						must.True(t, d.gate.Open(limitedLife, time.Now()), must.Sprint("daemon ", i, " after the end of the limit\n", z.told()))
+						must.True(t, d.gate.Open(limitedIncarnation, time.Now()), must.Sprint("daemon ", i, " after the end of the limit\n", z.logText()))
 					}
 				})
 			})
--- a/internal/front/outage.go
+++ b/internal/front/outage.go
@@ -12,48 +12,48 @@
 
 // Times of calls while the store does not answer.
 const (
-	// outageAfter is how long the store must not have answered before calls are held back:
-	// an answer that was lost is asked for again at once.
-	outageAfter = time.Second
-	// probeAlone is the most time between two reads of the configuration that get no answer,
-	// for a daemon that no relay can tell of the store's return; probeRelay that of a relay,
-	// for whose word its zone waits; probeRelayed that of the others. Each must leave time
-	// for an answer within the time after which a daemon counts as in touch again.
-	probeAlone   = time.Second
-	probeRelay   = 500 * time.Millisecond
-	probeRelayed = 2 * time.Second
-	// otherEvery is the time between two calls of any other kind: the configuration alone
-	// may get no answer.
-	otherEvery = 5 * time.Second
+	// holdBackAfter is how long the store must not have answered before calls are held back: a
+	// call whose single answer was lost is repeated at once.
+	holdBackAfter = time.Second
+	// Maximum intervals between two unanswered reads of the configuration: for a daemon that no
+	// relay notifies of the store's recovery, for a relay, whose notification its zone waits for,
+	// and for the daemons that wait for it. Each must leave time for an answer within the time
+	// after which a daemon counts as connected again.
+	maxProbeIntervalDirect  = time.Second
+	maxProbeIntervalRelay   = 500 * time.Millisecond
+	maxProbeIntervalRelayed = 2 * time.Second
+	// otherCallInterval is the time between two calls of any other kind, as reads of the
+	// configuration alone may fail.
+	otherCallInterval = 5 * time.Second
 )
 
-// errHeldBack: the store does not answer, and was asked a moment ago.
-var errHeldBack = errors.WithType(errors.New("front: store does not answer; not asked again yet"), objectapi.ErrUnavailable)
+// errHeldBack is the error of a call held back because the store answered none for a while.
+var errHeldBack = errors.WithType(errors.New("front: call held back: the store does not answer"), objectapi.ErrUnavailable)
 
-// outage holds calls back while the store does not answer, whoever would make them: one
-// finds out as well as four do, and each call has its price, also into the dark. Reads of the
-// configuration are not held back, as they find out: a call that waits for changes may be
-// answered long after the store's return, and hides it till then.
-type outage struct {
-	reach *fleet.Reachability
-	mu    sync.Mutex
-	asked time.Time
+// outageLimiter limits the calls of all loops together while the store does not answer: each
+// call is charged even when unanswered, and one detects the recovery as well as four do. Reads of
+// the configuration are exempt, as they are the ones to detect it: a call that waits for changes
+// may be answered long after the recovery.
+type outageLimiter struct {
+	reachability *fleet.Reachability
+	mu           sync.Mutex
+	lastCall     time.Time
 }
 
-// mayAsk tells whether a call may be made now; it then counts as made.
-func (o *outage) mayAsk(now time.Time) bool {
-	since, lost := o.reach.UnreachableSince()
-	if !lost || now.Sub(since) < outageAfter {
+// allow reports whether a call may be made now; it then counts as made.
+func (o *outageLimiter) allow(now time.Time) bool {
+	since, unreachable := o.reachability.UnreachableSince()
+	if !unreachable || now.Sub(since) < holdBackAfter {
 		return true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.asked.Before(since) {
-		o.asked = since
+	if o.lastCall.Before(since) {
+		o.lastCall = since
 	}
-	if now.Sub(o.asked) < otherEvery {
+	if now.Sub(o.lastCall) < otherCallInterval {
 		return false
 	}
-	o.asked = now
+	o.lastCall = now
 	return true
 }
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -15,61 +15,62 @@
 	"pearlanding/internal/rpc"
 )
 
-// Pauses after news of instances.
+// Pauses after changes of instances, and ages derived from the bound on leaving instances.
 const (
-	// planPace is that of the daemon that plans: each of its steps waits for what the
-	// one before changed.
-	planPace = 200 * time.Millisecond
-	// drainPart of the bound on leaving instances is the pause otherwise; as much
-	// again is for a slow answer.
-	drainPart = 0.4
-	// defaultPace stands in where there is no such bound.
-	defaultPace = 700 * time.Millisecond
-	// stalePart of the same bound is the age at which what a relay tells is too old;
-	// the rest is for asking the store instead.
-	stalePart = 0.75
-	// leadsPart of it is how long after the last proof that it stood the entry of a head
-	// may be gone while requests are sent there, as instances cut off from the store serve on:
-	// the rest is for the view's own pace.
-	leadsPart    = 0.75
-	defaultStale = 2 * time.Second
+	// plannerUpdatePause is the pause of the planner: each of its steps waits for the changes
+	// that the step before caused.
+	plannerUpdatePause = 200 * time.Millisecond
+	// updatePauseShare of the bound on leaving instances is the pause of the other daemons; as
+	// much again is for a slow answer.
+	updatePauseShare = 0.4
+	// defaultUpdatePause applies where there is no such bound.
+	defaultUpdatePause = 700 * time.Millisecond
+	// staleShare of the same bound is the age at which a relay's answer is too old; the rest
+	// is for a call to the store instead.
+	staleShare = 0.75
+	// headGraceShare of it is how long a head may be sent requests after the last proof that its
+	// now missing entry existed, as instances cut off from the store keep serving; the rest is
+	// for the pauses between views.
+	headGraceShare = 0.75
+	// defaultStaleAfter applies to staleShare where there is no such bound.
+	defaultStaleAfter = 2 * time.Second
 )
 
-// follows is how a daemon follows the instances; its values are those of a metric.
-type follows int
+// followMode is how a daemon follows the instances; its values are those of a metric.
+type followMode int
 
 const (
-	followsAlone   follows = 0 // from the store, for itself
-	followsRelayed follows = 1 // through its zone's relay
-	followsForAll  follows = 2 // from the store, for others too
+	followDirect  followMode = 0 // from the store, for itself only
+	followRelayed followMode = 1 // through its zone's relay
+	followAsRelay followMode = 2 // from the store, and for the other daemons of its zone
 )
 
-// following tells how this daemon follows the instances.
-func (d *Daemon) following() follows {
+// followMode returns how this daemon follows the instances.
+func (d *Daemon) followMode() followMode {
 	switch {
 	case d.relay != nil && d.relay.Serving():
-		return followsForAll
+		return followAsRelay
 	case d.relay != nil && d.relay.Relayed():
-		return followsRelayed
+		return followRelayed
 	}
-	return followsAlone
+	return followDirect
 }
 
-// probeEvery is the most time between two reads that a store does not answer.
-func (d *Daemon) probeEvery() time.Duration {
+// maxProbeInterval returns the maximum time between two reads that the store does not answer.
+func (d *Daemon) maxProbeInterval() time.Duration {
 	switch {
 	case d.relay == nil || d.planning():
-		return probeAlone
+		return maxProbeIntervalDirect
 	case d.relay.Holding():
-		return probeRelay
+		return maxProbeIntervalRelay
 	case d.relay.Told():
-		return probeRelayed
+		return maxProbeIntervalRelayed
 	}
-	return probeAlone
+	return maxProbeIntervalDirect
 }
 
-// listenForPeers opens the address for other daemons. One that can't be had costs
-// calls to the store, no service: the daemon then has none.
+// listenForPeers listens on the address for other daemons. If that fails, the daemon runs
+// without the address: this costs calls to the store, but no service.
 func (d *Daemon) listenForPeers(s *Settings) net.Listener {
 	if s.Peers == "" {
 		return nil
@@ -83,69 +84,72 @@
 	return l
 }
 
-// newRelay joins the relays of this daemon's zone.
+// newRelay creates this daemon's node of the relays of its zone.
 func (d *Daemon) newRelay(s Settings, holder string) *relay.Node {
 	d.peers = relay.NewPeers()
 	if d.dial != nil {
 		d.peers = relay.NewPeersOver(d.dial)
 	}
-	d.surveyed = make(chan struct{}, 1)
-	d.survey = &relay.Survey{Ask: d.peers.Standing, Active: d.planning, Now: d.Clock.Now, News: d.surveyed, Relays: func(ctx context.Context) ([]string, error) {
+	d.stallFound = make(chan struct{}, 1)
+	d.survey = &relay.Survey{Ask: d.peers.Standing, Active: d.planning, Now: d.Clock.Now, News: d.stallFound, Relays: func(ctx context.Context) ([]string, error) {
 		l, err := d.Outside.Feed.ListKind(ctx, relayKind)
 		return relay.Addresses(l), err
 	}}
 	return relay.NewNode(relay.Options{
-		Traffic: relay.Traffic{Spare: d.budgets.Spare, InFlight: d.picker.InFlight, Progress: d.progress, Stops: d.picker.Stops(), Loaded: d.loaded, Rule: d.poolRule},
+		Traffic: relay.Traffic{Spare: d.budgets.Spare, InFlight: d.picker.InFlight, Progress: d.progress, Stops: d.picker.Stops(), Loaded: d.takeLoads, Rule: d.poolRule},
 		Store:   d.Outside.Feed, Kind: d.Outside.InstancesKind, Key: relayKind + "/" + s.Zone, Holder: holder, Address: s.Peers, LinkMbps: s.LinkMbps,
-		Peers: d.peers, Direct: d.planning, Confirm: d.config.confirm, Returned: d.config.returned,
-		Stale:     func() time.Duration { return d.drainPart(stalePart, defaultStale) },
-		Standing:  d.standing,
-		Bootstrap: s.Bootstrap, Quarantine: d.watch, Gate: d.gate, Listed: d.listed,
+		Peers: d.peers, Direct: d.planning, Confirm: d.config.confirm, Returned: d.config.storeRecovered,
+		Stale:     func() time.Duration { return d.drainShare(staleShare, defaultStaleAfter) },
+		Standing:  d.stalledOrEndedHeads,
+		Bootstrap: s.Bootstrap, Quarantine: d.watch, Gate: d.gate, Listed: d.takeRelayListing,
 		Uniform: d.uniform, Now: d.Clock.Now, Log: d.Log,
 	})
 }
 
-// standing lists the heads that this daemon's streams show to stand still, or to have ended: a
-// process that ends breaks its streams off, and none stands still.
-func (d *Daemon) standing(time.Time) []string {
-	out := append(d.picker.Stopped(d.run.Now()), d.watch.EndedLately()...)
+// stalledOrEndedHeads lists the heads that this daemon's streams show to be stalled or to have
+// ended: a process that ends breaks its streams off, and none of them stalls.
+func (d *Daemon) stalledOrEndedHeads(time.Time) []string {
+	out := append(d.picker.Stopped(d.runClock.Now()), d.watch.EndedLately()...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// progress returns the groups whose running streams stopped for this daemon lately, and those
-// whose bring events. loaded takes in what all other daemons told. The picker has a time of its own.
+// progress returns the groups whose running streams stalled for this daemon recently, and those
+// whose streams deliver events. The picker runs on the run clock, so the time passed in is ignored.
 func (d *Daemon) progress(time.Time) (stopped, alive []fleet.Key) {
-	return d.picker.Progress(d.run.Now())
+	return d.picker.Progress(d.runClock.Now())
 }
 
-func (d *Daemon) loaded(others dispatch.Others, _ time.Time) {
-	d.sharing.Store(int64(others.Daemons))
-	d.picker.Loaded(others, d.run.Now())
+// takeLoads applies the loads that all other daemons reported.
+func (d *Daemon) takeLoads(others dispatch.Others, _ time.Time) {
+	d.loadReporters.Store(int64(others.Daemons))
+	d.picker.Loaded(others, d.runClock.Now())
 }
 
-// exchange tells this daemon, while it relays, what other zones have in progress.
-func (d *Daemon) exchange() *relay.Exchange {
+// newExchange returns the loop that exchanges loads with the other daemons; while this daemon
+// relays, it exchanges them with the relays of the other zones.
+func (d *Daemon) newExchange() *relay.Exchange {
 	return &relay.Exchange{Node: d.relay, List: func(ctx context.Context) (objectapi.Listing, error) {
 		return d.Outside.Feed.ListStale(ctx, relayKind)
 	}}
 }
 
-// spread tells other daemons of requests that end instances.
-func (d *Daemon) spread() *relay.Spread {
+// newSpread returns the loop that exchanges evidence about requests that crash instances with
+// other daemons.
+func (d *Daemon) newSpread() *relay.Spread {
 	return &relay.Spread{Node: d.relay, List: func(ctx context.Context) (objectapi.Listing, error) {
 		return d.Outside.Feed.ListKind(ctx, relayKind)
 	}}
 }
 
-// poolRule is the rule of this zone's pool of repeats.
+// poolRule returns the rule of this zone's pool of repeats.
 func (d *Daemon) poolRule() dispatch.PoolRule {
 	s := d.Settings()
 	return dispatch.PoolRule{Extra: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow, Pools: s.Zones}
 }
 
-// borrow asks the zone's pool for a repeat of a service; mayBorrow tells whether it
-// probably has one.
+// borrow asks the zone's pool for a repeat of a service and reports whether it got one;
+// mayBorrow reports whether the pool probably has one.
 func (d *Daemon) borrow(ctx context.Context, service string) bool {
 	return d.relay != nil && d.relay.Repeat(ctx, service)
 }
@@ -154,9 +158,9 @@
 	return d.relay != nil && d.relay.MayRepeat(service)
 }
 
-// still lists the heads of groups that stand still, for this daemon or for others.
-func (d *Daemon) still(now time.Time) []string {
-	out := d.picker.Still(d.run.Now())
+// stalledHeads lists the heads of groups that are stalled for this daemon or for others.
+func (d *Daemon) stalledHeads(now time.Time) []string {
+	out := d.picker.Still(d.runClock.Now())
 	if d.survey == nil {
 		return out
 	}
@@ -172,28 +176,28 @@
 func (d *Daemon) answerPeers(ctx context.Context, l net.Listener) {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	if err := rpc.Serve(ctx, l, d.relay.Methods()); err != nil {
-		d.Log.Error("peers not answered any more", zap.Error(err))
+		d.Log.Error("peer server failed", zap.Error(err))
 	}
 }
 
-// planning tells whether this daemon forms the groups.
+// planning reports whether this daemon forms the groups.
 func (d *Daemon) planning() bool { return d.lease.Held(d.Clock.Now()) != 0 }
 
-// pace is how long this daemon rests after news of instances.
-func (d *Daemon) pace() time.Duration {
+// updatePause returns how long this daemon pauses after changes of instances.
+func (d *Daemon) updatePause() time.Duration {
 	if d.planning() {
-		return planPace
+		return plannerUpdatePause
 	}
 	if d.relay != nil {
 		if pace := d.relay.Pace(); pace > 0 {
 			return pace
 		}
 	}
-	return d.drainPart(drainPart, defaultPace)
+	return d.drainShare(updatePauseShare, defaultUpdatePause)
 }
 
-// drainPart returns a part of the bound on leaving instances, def if there is none.
-func (d *Daemon) drainPart(part float64, def time.Duration) time.Duration {
+// drainShare returns a part of the bound on leaving instances, def if there is no bound.
+func (d *Daemon) drainShare(part float64, def time.Duration) time.Duration {
 	if bound := d.Settings().Bounds.Drain; bound > 0 {
 		return time.Duration(part * float64(bound))
 	}
--- a/internal/front/quarantine.go
+++ b/internal/front/quarantine.go
@@ -9,7 +9,8 @@
 	"pearlanding/internal/quarantine"
 )
 
-// buildQuarantine makes what keeps requests that end instances from being sent on.
+// buildQuarantine creates the watch and the keeper that stop requests that crash instances from
+// being repeated.
 func (d *Daemon) buildQuarantine(s Settings) {
 	evidence := quarantine.NewEvidence()
 	d.watch = quarantine.NewWatch(evidence, d.pool.Probe, d.Clock.Now, d.Log)
@@ -23,21 +24,21 @@
 	d.Metrics.GetOrCreateGauge("pearlanding_contents_refused", func() float64 { _, refused := evidence.Counts(); return float64(refused) })
 }
 
-// listed takes in what the relays' kind holds beside them.
-func (d *Daemon) listed(l objectapi.Listing) {
-	d.refusedKnown.Store(true)
+// takeRelayListing takes the record of refused requests from a listing of the relays' kind.
+func (d *Daemon) takeRelayListing(l objectapi.Listing) {
+	d.refusedLoaded.Store(true)
 	i := slices.IndexFunc(l.Objects, func(o objectapi.Object) bool { return o.Key == RefusedKey })
 	if i < 0 {
 		return
 	}
 	if err := d.keeper.Take(l.Objects[i].Value); err != nil {
-		d.Log.Error("refused requests in the store not understood", zap.String("decision", "keep_what_is_known"), zap.Error(err))
+		d.Log.Error("cannot decode refused requests in the store", zap.String("decision", "keep_what_is_known"), zap.Error(err))
 	}
 }
 
-// passOn lets the relay pass on at once what is new of requests that end instances, and the
-// keeper save it.
-func (d *Daemon) passOn(ctx context.Context) {
+// forwardEvidence makes the relay forward and the keeper save new evidence about requests that
+// crash instances at once.
+func (d *Daemon) forwardEvidence(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/front/reads.go
+++ b/internal/front/reads.go
@@ -8,96 +8,98 @@
 	"pearlanding/internal/objectapi"
 )
 
-// Reads without an answer.
+// Backoff of unanswered reads.
 const (
-	// probeFirst is the time after which the first is repeated; it doubles with each further one.
-	probeFirst = 500 * time.Millisecond
-	// doublings is after how many the time between them grows no more.
-	doublings = 8
+	// minProbeInterval is the time after which the first unanswered read is repeated; it doubles
+	// with each further one.
+	minProbeInterval = 500 * time.Millisecond
+	// maxDoublings bounds the doublings of minProbeInterval.
+	maxDoublings = 8
 )
 
-// readSource is where a configuration and its proof come from, as logged.
+// readSource is the source of a configuration and its proof, as logged.
 type readSource string
 
 const (
-	sourceRead    readSource = "read"                  // one whole read proves it
-	sourceOldRead readSource = "old_read_relays_proof" // a read that may be old, and a relay's word
+	sourceRead      readSource = "read"                  // one whole read proves it
+	sourceStaleRead readSource = "old_read_relays_proof" // a read that may be stale, proved by a relay's confirmation
 )
 
-// readResult is how one read ended.
+// readResult is the result of one read.
 type readResult struct {
-	source readSource
-	object objectapi.Object
-	proved time.Time // since when the object is proved current
-	err    error
+	source   readSource
+	object   objectapi.Object
+	provedAt time.Time // since when the object is proved current
+	err      error
 }
 
-// answered tells whether the store answered, whatever it said of the object.
+// answered reports whether the store answered, with the object or without.
 func (r *readResult) answered() bool { return r.err == nil || errors.Is(r.err, objectapi.ErrNotFound) }
 
 // readSchedule decides when the configuration is read. Time is passed in.
 type readSchedule struct {
-	asked      time.Time     // when the last read was sent
-	unanswered int           // reads sent since the store answered one, or another daemon said that it is back
-	proved     time.Time     // since when the newest answer proves what it showed
-	missing    bool          // the last answer was that there is no configuration
-	hint       *confirmation // a newer version that another daemon saw
+	sentAt     time.Time     // when the last read was sent
+	unanswered int           // reads sent since the store answered one, or another daemon reported its recovery
+	provedAt   time.Time     // since when the newest answer proves its content
+	missing    bool          // the last answer was: no configuration
+	hint       *confirmation // a newer version that another daemon read
 }
 
-// sent notes that a read is sent.
-func (s *readSchedule) sent(now time.Time) {
-	s.asked = now
+// recordSent records that a read is sent.
+func (s *readSchedule) recordSent(now time.Time) {
+	s.sentAt = now
 	s.unanswered++
 }
 
-// ended takes in how a read ended.
-func (s *readSchedule) ended(r readResult) {
+// recordResult records the result of a read. A read clears the hint if it shows the hinted
+// version; a current read sent after the hint clears it in any case.
+func (s *readSchedule) recordResult(r readResult) {
 	if !r.answered() {
 		return
 	}
 	s.unanswered = 0
 	s.missing = r.err != nil
-	if r.proved.After(s.proved) {
-		s.proved = r.proved
+	if r.provedAt.After(s.provedAt) {
+		s.provedAt = r.provedAt
 	}
-	if s.hint != nil && (r.object.Version >= s.hint.version || r.source == sourceRead && !r.proved.Before(s.hint.proved)) {
+	if s.hint != nil && (r.object.Version >= s.hint.version || r.source == sourceRead && !r.provedAt.Before(s.hint.provedAt)) {
 		s.hint = nil
 	}
 }
 
-// readPace is how long a daemon waits between reads, as things are.
-type readPace struct {
-	every      time.Duration // until a proof is renewed
-	untilFirst time.Duration // after an answer that there is no configuration
-	most       time.Duration // after a read without an answer
+// readPauses are the pauses between reads that apply at a time.
+type readPauses struct {
+	renewAfter       time.Duration // until a proof is renewed
+	noConfigPause    time.Duration // after an answer that there is no configuration
+	maxProbeInterval time.Duration // after a read without an answer
 }
 
-// due returns when the next read is to be sent: when the proof of what is in force, a version
-// proved at a time, gets old; at once if another daemon saw a newer version. While what is in
-// force is not proved, a read without an answer is repeated within the pace's most: no belief
-// that the store is away outlasts that.
-func (s *readSchedule) due(version uint64, proved time.Time, pace readPace) time.Time {
-	next := proved
-	if s.proved.After(next) {
-		next = s.proved
+// due returns when the next read is to be sent: when the proof of the configuration in force, a
+// version proved at a time, must be renewed, or at once if another daemon read a newer version.
+// Without a fresh proof an unanswered read is repeated within maxProbeInterval, so that the end
+// of an outage is detected within that time.
+func (s *readSchedule) due(version uint64, provedAt time.Time, pauses readPauses) time.Time {
+	next := provedAt
+	if s.provedAt.After(next) {
+		next = s.provedAt
 	}
-	next = next.Add(pace.every)
+	next = next.Add(pauses.renewAfter)
 	switch {
-	case s.asked.IsZero():
-		return s.asked
+	case s.sentAt.IsZero():
+		return s.sentAt
 	case s.hint != nil && s.hint.version > version:
-		next = s.asked
+		next = s.sentAt
 	case s.missing:
-		next = s.asked.Add(pace.untilFirst)
+		next = s.sentAt.Add(pauses.noConfigPause)
 	}
-	least := leastPause
+	backoff := minReadPause
 	if s.unanswered > 0 {
-		least = pace.most
-		if s.unanswered <= doublings {
-			least = min(pace.most, probeFirst<<(s.unanswered-1))
+		backoff = pauses.maxProbeInterval
+		if s.unanswered <= maxDoublings {
+			backoff = min(pauses.maxProbeInterval, minProbeInterval<<(s.unanswered-1))
 		}
 	}
-	if earliest := s.asked.Add(least); next.Before(earliest) {
+	if earliest := s.sentAt.Add(backoff); next.Before(earliest) {
 		return earliest
 	}
 	return next
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Settings is what a daemon is told about itself and its bounds. Whoever starts
-// the daemon fills it from the deployment's settings file; zero bounds mean that
-// the deployment sets none.
+// Settings describes a daemon and its bounds. The program that starts the daemon
+// fills it from the deployment's settings file; a zero bound means that the
+// deployment sets none.
 type Settings struct {
 	Node      string
 	Zone      string
@@ -12,35 +12,35 @@
 	IP        string
 	Bootstrap bool   // all daemons start for the first time, together
 	Callers   string // address that serves callers
-	Readiness string // address asked whether this daemon takes connections
-	Peers     string // address that answers other daemons; empty: none may ask
+	Readiness string // address of the readiness check
+	Peers     string // address that serves other daemons; empty: not served
 	Store     Store
 	Heartbeat time.Duration // between the writes of an instance's own entry
-	MaxFiles  int           // descriptors of the process
-	MemoryMB  int
-	LinkMbps  float64 // rate of the machine's link in Mbit/s
+	MaxFiles  int           // file descriptors of the process
+	MemoryMB  int           // memory of the process
+	LinkMbps  float64       // rate of the machine's link in Mbit/s
 	Bounds    Bounds
 }
 
-// Store says where the object store is and what all daemons together may ask.
+// Store is the address of the object store and the rates that all daemons together may use.
 type Store struct {
 	Address         string
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 }
 
-// Bounds are the deployment's promises in figures.
+// Bounds are the bounds that the deployment guarantees.
 type Bounds struct {
 	Config         time.Duration // until a change is in force, from its acknowledgement
-	Revoke         time.Duration // until a removed key no longer runs anywhere
-	StrictRevoke   bool          // Revoke holds out of touch too
+	Revoke         time.Duration // until a removed key is no longer accepted anywhere
+	StrictRevoke   bool          // Revoke also holds for a daemon that does not reach the store
 	Drain          time.Duration // until a leaving instance gets no more requests
-	Grace          time.Duration // from the signal to stop until the kill
+	Grace          time.Duration // from the stop signal until the kill
 	Stall          time.Duration // until a group that lost a member is broken
-	Pass           time.Duration // until an event is passed on
+	Pass           time.Duration // until an event is forwarded
 	RetryRatio     float64       // repeats allowed per request
-	RetryWindow    time.Duration
-	RetryExtra     float64       // repeats that all daemons may make in a window beside the ratio
-	CeilingWindow  time.Duration // of loads from the weight store
+	RetryWindow    time.Duration // window of RetryRatio and RetryExtra
+	RetryExtra     float64       // repeats that all daemons may make in a window beyond the ratio
+	CeilingWindow  time.Duration // window of the ceiling on loads from the weight store
 	CeilingOverage float64
 }
--- a/internal/front/simnet_test.go
+++ b/internal/front/simnet_test.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// simRate is a link that carries what is sent in turn; its zero value takes no time.
+// simRate is a link that transmits messages one after another; the zero value takes no time.
 type simRate struct {
 	bytesPerSecond float64
 	mu             sync.Mutex
-	free           time.Time // when all that was sent so far has arrived
+	idleAt         time.Time // when everything sent so far has arrived
 }
 
-// carry returns when so many bytes have arrived.
-func (r *simRate) carry(bytes int) {
+// transmit returns when the given number of bytes has arrived.
+func (r *simRate) transmit(bytes int) {
 	if r.bytesPerSecond == 0 {
 		return
 	}
 	r.mu.Lock()
-	if now := time.Now(); r.free.Before(now) {
-		r.free = now
+	if now := time.Now(); r.idleAt.Before(now) {
+		r.idleAt = now
 	}
-	r.free = r.free.Add(time.Duration(float64(bytes) / r.bytesPerSecond * float64(time.Second)))
-	arrives := r.free
+	r.idleAt = r.idleAt.Add(time.Duration(float64(bytes) / r.bytesPerSecond * float64(time.Second)))
+	arrives := r.idleAt
 	r.mu.Unlock()
 	time.Sleep(time.Until(arrives))
 }
 
-// simConn is a connection whose writes take their time on a link. They return at once, as what
-// writes may hold a lock, and time stands still while others wait for it.
+// simConn is a connection whose writes take time on a link. Write returns at once: its caller may
+// hold a mutex, and virtual time does not advance while others wait for that.
 type simConn struct {
 	net.Conn
 	link   *simRate
@@ -41,7 +41,7 @@
 	once   sync.Once
 }
 
-// simConnQueue is how many writes a connection takes before they wait.
+// simConnQueue is the number of writes that a connection buffers.
 const simConnQueue = 1 << 12
 
 func newSimConn(c net.Conn, link *simRate) *simConn {
@@ -50,12 +50,12 @@
 	return out
 }
 
-// send carries the writes in turn.
+// send transmits the buffered writes in order.
 func (c *simConn) send() {
 	for {
 		select {
 		case p := <-c.queue:
-			c.link.carry(len(p))
+			c.link.transmit(len(p))
 			if _, err := c.Conn.Write(p); err != nil {
 				c.Close()
 				return
@@ -82,16 +82,16 @@
 
 // simNet carries the calls between daemons in virtual time.
 type simNet struct {
-	mu        sync.Mutex
-	listeners map[string]*simListener
-	parted    map[string]bool // addresses that nobody reaches any more
-	conns     map[string][]net.Conn
-	slow      []net.Conn          // all connections on links
-	links     map[string]*simRate // on which addresses answer; none: it takes no time
+	mu           sync.Mutex
+	listeners    map[string]*simListener
+	blocked      map[string]bool // addresses that nobody reaches
+	conns        map[string][]net.Conn
+	limitedConns []net.Conn          // all connections with a limited rate
+	links        map[string]*simRate // links on which addresses answer; none: answers take no time
 }
 
 func newSimNet() *simNet {
-	return &simNet{listeners: map[string]*simListener{}, parted: map[string]bool{}, conns: map[string][]net.Conn{}}
+	return &simNet{listeners: map[string]*simListener{}, blocked: map[string]bool{}, conns: map[string][]net.Conn{}}
 }
 
 // simListener is one daemon's address.
@@ -131,7 +131,7 @@
 	return l
 }
 
-// setLink gives an address a link of so many Mbit/s.
+// setLink gives an address a link of a rate in Mbit/s.
 func (n *simNet) setLink(address string, mbps float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -141,31 +141,31 @@
 	n.links[address] = &simRate{bytesPerSecond: mbps * 1e6 / 8}
 }
 
-// close ends all connections on links.
+// close closes all connections with a limited rate.
 func (n *simNet) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.slow {
+	for _, c := range n.limitedConns {
 		c.Close()
 	}
 }
 
-// part lets nobody reach an address, or lets them again; open connections end.
-func (n *simNet) part(address string, parted bool) {
+// setBlocked makes an address unreachable, or reachable again; open connections are closed.
+func (n *simNet) setBlocked(address string, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.parted[address] = parted
+	n.blocked[address] = blocked
 	n.mu.Unlock()
-	n.reset(address)
+	n.closeConns(address)
 	n.mu.Lock()
 }
 
-// dial connects to an address. One that is parted says nothing until ctx ends.
+// dial connects to an address. A blocked address does not answer until ctx ends.
 func (n *simNet) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
-	l, parted, link := n.listeners[address], n.parted[address], n.links[address]
+	l, blocked, link := n.listeners[address], n.blocked[address], n.links[address]
 	n.mu.Unlock()
-	if l == nil || parted {
+	if l == nil || blocked {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -173,7 +173,7 @@
 	if link != nil {
 		far = newSimConn(far, link)
 		n.mu.Lock()
-		n.slow = append(n.slow, far)
+		n.limitedConns = append(n.limitedConns, far)
 		n.mu.Unlock()
 	}
 	n.mu.Lock()
@@ -189,8 +189,8 @@
 	}
 }
 
-// reset ends all connections to an address.
-func (n *simNet) reset(address string) {
+// closeConns closes all connections to an address.
+func (n *simNet) closeConns(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns[address] {
--- a/internal/front/simstore_test.go
+++ b/internal/front/simstore_test.go
@@ -11,22 +11,22 @@
 	"pearlanding/internal/objectapi"
 )
 
-// Times of the store as its client sees them.
+// Times of calls to the store.
 const (
-	answerIn  = 4 * time.Millisecond
-	lostAfter = 1500 * time.Millisecond // a call without an answer by then counts as lost
+	simLatency     = 4 * time.Millisecond
+	simCallTimeout = 1500 * time.Millisecond // a call without an answer by then has failed
 )
 
-// simStore is a store in virtual time, and the ways to it.
+// simStore is a store in virtual time, with its connections to the daemons.
 type simStore struct {
 	mu       sync.Mutex
 	revision uint64
 	config   objectapi.Object
-	records  map[string]objectapi.Object // relays and lease
-	events   []objectapi.Event           // of the entries
+	records  map[string]objectapi.Object // records of relays and the lease
+	events   []objectapi.Event           // changes of the entries
 	changed  chan struct{}
 	down     bool
-	cut      map[string]bool // daemons that do not reach it
+	cut      map[string]bool // daemons cut off from it
 	calls    int
 	link     simRate // carries the listings of entries
 	value    []byte  // of each entry
@@ -34,13 +34,13 @@
 
 func newSimStore() *simStore {
 	s := &simStore{records: map[string]objectapi.Object{}, changed: make(chan struct{}), cut: map[string]bool{}}
-	s.configure()
-	s.entry("i-0")
+	s.writeConfig()
+	s.writeEntry("i-0")
 	return s
 }
 
-// configure writes the next version of the configuration.
-func (s *simStore) configure() (version uint64) {
+// writeConfig writes the next version of the configuration and returns it.
+func (s *simStore) writeConfig() (version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -48,15 +48,15 @@
 	return s.revision
 }
 
-// made returns how many calls were made so far.
-func (s *simStore) made() int {
+// callCount returns the number of calls so far.
+func (s *simStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// entry changes an instance's entry.
-func (s *simStore) entry(id string) {
+// writeEntry writes an instance's entry.
+func (s *simStore) writeEntry(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -65,14 +65,14 @@
 	s.changed = make(chan struct{})
 }
 
-// setDown stops or returns the store.
+// setDown stops the store, or starts it again.
 func (s *simStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// setCut cuts one daemon off from the store, or heals the cut.
+// setCut cuts one daemon off from the store, or connects it again.
 func (s *simStore) setCut(daemon string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,31 +84,32 @@
 	simInstances = "servers"
 )
 
-// simLink is one daemon's way to the store. It implements objectapi.Feed.
+// simLink is one daemon's connection to the store. It implements objectapi.Feed.
 type simLink struct {
 	*simStore
 	daemon string
 }
 
-// arrives tells whether a message between the daemon and the store gets through now.
-func (l *simLink) arrives() bool {
+// connected reports whether messages between the daemon and the store are delivered now.
+func (l *simLink) connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.down && !l.cut[l.daemon]
 }
 
-// call makes one call that f answers; one that meets an outage is lost for good.
+// call makes one call that f answers; a call sent or answered during an outage fails only by its
+// timeout.
 func (l *simLink) call(ctx context.Context, timeout time.Duration, f func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	l.mu.Lock()
 	l.calls++
 	l.mu.Unlock()
-	time.Sleep(answerIn / 2)
-	if l.arrives() {
+	time.Sleep(simLatency / 2)
+	if l.connected() {
 		err := f(ctx)
-		time.Sleep(answerIn / 2)
-		if l.arrives() && ctx.Err() == nil {
+		time.Sleep(simLatency / 2)
+		if l.connected() && ctx.Err() == nil {
 			return err
 		}
 	}
@@ -117,7 +118,7 @@
 }
 
 func (l *simLink) Get(ctx context.Context, key string) (o objectapi.Object, err error) {
-	err = l.call(ctx, lostAfter, func(context.Context) error {
+	err = l.call(ctx, simCallTimeout, func(context.Context) error {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		o = l.records[key]
@@ -137,7 +138,7 @@
 }
 
 func (l *simLink) ListKind(ctx context.Context, kind string) (out objectapi.Listing, err error) {
-	err = l.call(ctx, lostAfter, func(context.Context) error {
+	err = l.call(ctx, simCallTimeout, func(context.Context) error {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		out.Revision = l.revision
@@ -157,7 +158,7 @@
 		for _, o := range out.Objects {
 			size += len(o.Value)
 		}
-		l.link.carry(size)
+		l.link.transmit(size)
 	}
 	return out, err
 }
@@ -166,7 +167,7 @@
 	return l.ListKind(ctx, kind)
 }
 
-// after returns the changes after a revision, and a channel that is closed at the next.
+// after returns the changes after a revision, and a channel that is closed at the next change.
 func (l *simLink) after(revision uint64) (out objectapi.Changes, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,7 +181,7 @@
 }
 
 func (l *simLink) Follow(ctx context.Context, _ string, after uint64, wait time.Duration) (out objectapi.Changes, err error) {
-	err = l.call(ctx, wait+lostAfter, func(ctx context.Context) error {
+	err = l.call(ctx, wait+simCallTimeout, func(ctx context.Context) error {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		for {
@@ -205,7 +206,7 @@
 }
 
 func (l *simLink) Update(ctx context.Context, key string, version uint64, value []byte) (written uint64, err error) {
-	err = l.call(ctx, lostAfter, func(context.Context) error {
+	err = l.call(ctx, simCallTimeout, func(context.Context) error {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.records[key].Version != version {
--- a/internal/front/suspended.go
+++ b/internal/front/suspended.go
@@ -9,33 +9,33 @@
 	"pearlanding/internal/pause"
 )
 
-// Times of telling that this process was not scheduled.
+// Times of logging that this process was not scheduled.
 const (
-	latenessEvery = time.Second
-	latenessLeast = 100 * time.Millisecond // in latenessEvery
+	latenessInterval = time.Second
+	minLateness      = 100 * time.Millisecond // lateness within latenessInterval that is logged
 )
 
-// tellLateness logs for how long this process was not scheduled, where it may matter to requests.
-func (d *Daemon) tellLateness(ctx context.Context) {
-	for told := time.Duration(0); ctx.Err() == nil; {
-		pause.For(ctx, latenessEvery)
-		late := d.run.Late()
-		if late-told >= latenessLeast {
-			d.Log.Warn("process not scheduled", zap.Duration("for", late-told), zap.Duration("so_far", late))
+// logLateness logs for how long this process was not scheduled, where requests may be affected.
+func (d *Daemon) logLateness(ctx context.Context) {
+	for logged := time.Duration(0); ctx.Err() == nil; {
+		pause.For(ctx, latenessInterval)
+		late := d.runClock.Late()
+		if late-logged >= minLateness {
+			d.Log.Warn("process not scheduled", zap.Duration("for", late-logged), zap.Duration("so_far", late))
 		}
-		told = late
+		logged = late
 	}
 }
 
-// tellSuspensions logs that the machine was suspended, once it is noticed: with the next
-// request or the next of the daemon's own steps.
-func (d *Daemon) tellSuspensions(ctx context.Context) {
-	told := time.Duration(0)
+// logSuspensions logs that the machine was suspended when the clock detects it: at the next
+// request or at the next reading of the clock by one of the daemon's loops.
+func (d *Daemon) logSuspensions(ctx context.Context) {
+	logged := time.Duration(0)
 	for {
 		resumed := d.Clock.Resumed()
-		if all := d.Clock.Suspended(); all > told {
-			d.Log.Warn("machine was suspended", zap.String("decision", "renew_proofs"), zap.Duration("for", all-told))
-			told = all
+		if total := d.Clock.Suspended(); total > logged {
+			d.Log.Warn("machine was suspended", zap.String("decision", "renew_proofs"), zap.Duration("for", total-logged))
+			logged = total
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/front/zone_test.go
+++ b/internal/front/zone_test.go
@@ -17,33 +17,33 @@
 	"pearlanding/internal/steady"
 )
 
-// simZone is the daemons of one zone before a store, in virtual time: what follows the
-// configuration and the entries, and what speaks to one another.
+// simZone runs the daemons of one zone with a store in virtual time: the loops that follow the
+// configuration and the entries, and the calls between daemons.
 type simZone struct {
-	t       *testing.T
-	store   *simStore
-	net     *simNet
-	daemons []*Daemon
-	ends    map[*Daemon]context.CancelFunc
-	started func(ctx context.Context, d *Daemon) // called for each process that begins; nil: nothing else runs
-	begun   time.Time
-	// mbps, if set, is the rate of a daemon's link in Mbit/s.
+	t         *testing.T
+	store     *simStore
+	net       *simNet
+	daemons   []*Daemon
+	cancels   map[*Daemon]context.CancelFunc
+	started   func(ctx context.Context, d *Daemon) // called for each process that starts; nil: none
+	startedAt time.Time
+	// mbps, if set, returns the rate of a daemon's link in Mbit/s.
 	mbps  func(daemon string) float64
 	log   []string
 	logMu sync.Mutex
 }
 
-// simBounds are those of a deployment.
+// simBounds are the bounds of a deployment.
 var simBounds = Bounds{Config: 2 * time.Second, Revoke: 5 * time.Second, StrictRevoke: true, Drain: 2 * time.Second}
 
-// newSimZone starts daemons within ctx, whose choices by chance follow the seed.
+// newSimZone starts daemons that run until ctx ends; their random choices depend on the seed.
 func newSimZone(ctx context.Context, t *testing.T, daemons int, seed uint64) *simZone {
 	return newSimZoneWith(ctx, t, daemons, seed, nil)
 }
 
-// newSimZoneWith is newSimZone with more that runs in each process until its end.
+// newSimZoneWith is newSimZone with a function called for each process that starts.
 func newSimZoneWith(ctx context.Context, t *testing.T, daemons int, seed uint64, started func(ctx context.Context, d *Daemon)) *simZone {
-	z := &simZone{started: started, t: t, store: newSimStore(), net: newSimNet(), begun: time.Now(), ends: map[*Daemon]context.CancelFunc{}}
+	z := &simZone{started: started, t: t, store: newSimStore(), net: newSimNet(), startedAt: time.Now(), cancels: map[*Daemon]context.CancelFunc{}}
 	for i := range daemons {
 		z.daemons = append(z.daemons, z.start(ctx, fmt.Sprintf("d%d", i), seed+uint64(i), true))
 	}
@@ -53,14 +53,14 @@
 // kill ends a daemon's process.
 func (z *simZone) kill(i int) {
 	d := z.daemons[i]
-	z.ends[d]()
+	z.cancels[d]()
 	d.peers.Close()
-	z.net.reset(d.Settings().Peers)
+	z.net.closeConns(d.Settings().Peers)
 }
 
 func (z *simZone) start(ctx context.Context, name string, seed uint64, bootstrap bool) *Daemon {
 	ctx, end := context.WithCancel(ctx)
-	chance := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
 	s := Settings{Node: name, Zone: "zone", Zones: 1, Peers: name, Heartbeat: 1200 * time.Millisecond, Bounds: simBounds, Bootstrap: bootstrap}
 	if z.mbps != nil {
@@ -78,27 +78,27 @@
 				return &fleet.Instance{ID: id, Version: version}, nil
 			}},
 		dial: z.net.dial,
-		uniform: func(least, most time.Duration) time.Duration {
+		uniform: func(low, high time.Duration) time.Duration {
 			mu.Lock()
 			defer mu.Unlock()
-			return least + time.Duration(chance.Int64N(int64(most-least)))
+			return low + time.Duration(rng.Int64N(int64(high-low)))
 		},
 	}
-	d.started = d.Clock.Now()
+	d.startedAt = d.Clock.Now()
 	d.build(s, name)
 	go d.config.Run(ctx)
-	go d.fleet.Run(ctx)
+	go d.instances.Run(ctx)
 	go d.answerPeers(ctx, z.net.listen(name))
-	d.fleet.UpdatePause = d.pace
-	z.ends[d] = end
+	d.instances.UpdatePause = d.updatePause
+	z.cancels[d] = end
 	if z.started != nil {
 		z.started(ctx, d)
 	}
 	return d
 }
 
-// end ends all daemons; what is under way ends too.
-func (z *simZone) end(cancel context.CancelFunc) {
+// shutdown ends all daemons and waits for their calls in flight.
+func (z *simZone) shutdown(cancel context.CancelFunc) {
 	cancel()
 	for _, d := range z.daemons {
 		d.peers.Close()
@@ -107,7 +107,7 @@
 	time.Sleep(time.Minute)
 }
 
-// simClock is a clock that no suspension moves.
+// simClock returns a clock without suspensions.
 func simClock() *steady.Clock {
 	start := time.Now()
 	return steady.NewClockOf(func() (time.Time, time.Duration) {
@@ -116,12 +116,12 @@
 	}, func() time.Duration { return time.Since(start) })
 }
 
-// logger keeps what a daemon logs, for a test that fails.
+// logger returns a logger whose lines are kept for the output of a failing test.
 func (z *simZone) logger(name string) *zap.Logger {
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{MessageKey: "msg"}), zapcore.AddSync(writerFunc(func(p []byte) (int, error) {
 		z.logMu.Lock()
 		defer z.logMu.Unlock()
-		z.log = append(z.log, fmt.Sprintf("%8.4f %s %s", time.Since(z.begun).Seconds(), name, p))
+		z.log = append(z.log, fmt.Sprintf("%8.4f %s %s", time.Since(z.startedAt).Seconds(), name, p))
 		return len(p), nil
 	})), zap.InfoLevel))
 }
@@ -130,8 +130,8 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-// told is what all daemons logged.
-func (z *simZone) told() string {
+// logText returns what all daemons logged.
+func (z *simZone) logText() string {
 	z.logMu.Lock()
 	defer z.logMu.Unlock()
 	out := ""
