--- a/internal/steady/clock.go
+++ b/internal/steady/clock.go
@@ -7,32 +7,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// driftMost is by how much the time of day may move against the steady clock before it is
-// looked whether the machine was suspended: a corrected clock moves by 0.5 ms a second.
-const driftMost = time.Millisecond
-
-// Clock tells times that only grow and count the time for which the machine was suspended.
-// The steady clock of the library stands still meanwhile: of a proof that is fifteen seconds
-// old it would say five, and a key that was removed since would run. Times of a clock carry no
-// reading of the library's; they must not be mixed with those of time.Now, and contexts and
-// timers take durations of them, never deadlines. Safe for concurrent use.
+// maxDrift is how far the time of day may move against the monotonic clock before the clock
+// checks whether the machine was suspended: clock correction moves it by 0.5 ms a second.
+const maxDrift = time.Millisecond
+
+// Clock returns monotonic times that include the time for which the machine was suspended. The
+// monotonic clock of package time stops during a suspension: a proof that is fifteen seconds old
+// would look five seconds old, and a key removed since then would be accepted. Times of a Clock
+// carry no monotonic reading; they must not be mixed with those of time.Now, and contexts and
+// timers take durations computed from them, never deadlines. Safe for concurrent use.
 type Clock struct {
-	// read returns the time of day and that since the clock's start by the steady clock; boot
-	// returns the time since the machine's, with suspensions. Replaced by tests.
+	// read returns the time of day and the monotonic time since the clock's start; boot returns
+	// the time since the machine's start, including suspensions. Tests replace both.
 	read func() (day time.Time, steady time.Duration)
 	boot func() time.Duration
 
-	start time.Time     // by the time of day
-	since time.Duration // by boot
+	start       time.Time     // time of day at the clock's start
+	bootAtStart time.Duration // boot time at the clock's start
 
 	mu        sync.Mutex
-	drift     time.Duration // of the time of day against the steady clock, when last looked
-	suspended time.Duration // since the start
+	drift     time.Duration // of the time of day against the monotonic clock, at the last check
+	suspended time.Duration // total of the suspensions since the clock's start
 	resumed   chan struct{}
 }
 
-// NewClock returns a clock. A system call is made only when the time of day moved against the
-// steady clock: a suspension always moves it.
+// NewClock returns a clock of this machine. It makes a system call only when the time of day has
+// moved against the monotonic clock, as it does in every suspension.
 func NewClock() *Clock {
 	start := time.Now()
 	return NewClockOf(func() (time.Time, time.Duration) {
@@ -41,15 +41,15 @@
 	}, bootTime)
 }
 
-// NewClockOf returns a clock of other sources, for stand-ins: read returns the time of day and
-// the steady clock's, boot the latter with suspensions.
+// NewClockOf returns a clock of other sources, for tests and simulations: read returns the time
+// of day and the monotonic time, boot a monotonic time that includes suspensions.
 func NewClockOf(read func() (time.Time, time.Duration), boot func() time.Duration) *Clock {
 	day, steady := read()
-	return &Clock{read: read, boot: boot, start: day.Add(-steady), since: boot() - steady, resumed: make(chan struct{})}
+	return &Clock{read: read, boot: boot, start: day.Add(-steady), bootAtStart: boot() - steady, resumed: make(chan struct{})}
 }
 
-// bootTime is the time since the machine's start, suspensions counted; 0 where the kernel
-// has no such clock.
+// bootTime returns the time since the machine's start, including suspensions; 0 where the
+// kernel has no such clock.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -58,31 +58,31 @@
 	return time.Duration(t.Nano())
 }
 
-// machine is the clock of this machine, for whom none is given.
-var machine = sync.OnceValue(NewClock)
+// machineClock returns the clock of this machine, which stands for a nil Clock.
+var machineClock = sync.OnceValue(NewClock)
 
-// Now returns the time. A nil clock is that of this machine.
+// Now returns the current time. A nil Clock is that of this machine.
 func (c *Clock) Now() time.Time {
 	if c == nil {
-		c = machine()
+		c = machineClock()
 	}
 	day, steady := c.read()
 	drift := day.Sub(c.start) - steady
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if moved := drift - c.drift; moved > driftMost || moved < -driftMost {
+	if moved := drift - c.drift; moved > maxDrift || moved < -maxDrift {
 		c.drift = drift
-		c.look()
+		c.checkSuspension()
 	}
 	return c.start.Add(steady + c.suspended)
 }
 
-// look finds out whether the machine was suspended; c.mu is held.
-func (c *Clock) look() {
+// checkSuspension updates the total of suspensions. The caller holds c.mu.
+func (c *Clock) checkSuspension() {
 	boot := c.boot()
 	_, steady := c.read()
-	suspended := boot - c.since - steady
-	if suspended <= c.suspended+driftMost {
+	suspended := boot - c.bootAtStart - steady
+	if suspended <= c.suspended+maxDrift {
 		return
 	}
 	c.suspended = suspended
@@ -90,27 +90,27 @@
 	c.resumed = make(chan struct{})
 }
 
-// Since returns the time since t, which this clock told.
+// Since returns the time since t, a time of this clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Until returns the time until t, which this clock told.
+// Until returns the time until t, a time of this clock.
 func (c *Clock) Until(t time.Time) time.Duration { return t.Sub(c.Now()) }
 
-// Resumed returns a channel that is closed when it is noticed that the machine was suspended.
-// Timers that ran then are late.
+// Resumed returns a channel that is closed when the clock detects that the machine was
+// suspended. Timers that were running then fire late.
 func (c *Clock) Resumed() <-chan struct{} {
 	if c == nil {
-		c = machine()
+		c = machineClock()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.resumed
 }
 
-// Suspended returns for how long the machine was suspended since the clock's start.
+// Suspended returns how long the machine has been suspended in total since the clock's start.
 func (c *Clock) Suspended() time.Duration {
 	if c == nil {
-		c = machine()
+		c = machineClock()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/steady/run_clock.go
+++ b/internal/steady/run_clock.go
@@ -10,65 +10,67 @@
 
 // Times of a RunClock.
 const (
-	// beatEvery is how often a RunClock looks whether the process runs on schedule.
-	beatEvery = 25 * time.Millisecond
-	// beatSlack is how late a look may come by the scheduler's ordinary delays.
-	beatSlack = 10 * time.Millisecond
-	// RunClockStep is by how much a RunClock may lag: it stands until the next look after the
-	// process ran again.
-	RunClockStep = beatEvery + beatSlack
+	// tickInterval is how often a RunClock checks that the process is scheduled.
+	tickInterval = 25 * time.Millisecond
+	// tickSlack is how late a tick may be through ordinary delays of the scheduler.
+	tickSlack = 10 * time.Millisecond
+	// RunClockStep is how far a RunClock may lag: after a delay it stops until the first tick of
+	// the resumed process.
+	RunClockStep = tickInterval + tickSlack
 )
 
-// RunClock tells a time that stands still while the process is not scheduled: its timers are late
-// then, and it has not read what came meanwhile. A peer that is silent by this clock is silent; by
-// another one it may be this process that did not listen. Its times are compared with one another
-// only. Safe for concurrent use.
+// RunClock returns a time that stops while the process is not scheduled, as its timers are late
+// then and it reads no messages. A peer that is silent by this clock is really silent; by another
+// clock it may be this process that did not read. Its times may only be compared with one another.
+// Safe for concurrent use.
 type RunClock struct {
-	clock *Clock
-	mu    sync.Mutex
-	due   time.Time // when the next look comes at the latest; zero: there was none
-	late  time.Duration
+	clock    *Clock
+	mu       sync.Mutex
+	nextTick time.Time     // when the next tick is due at the latest; zero: there was none yet
+	lateness time.Duration // total time for which the process was not scheduled
 }
 
-// NewRunClock returns a RunClock over a clock; nil: this machine's. It equals that clock until Run.
+// NewRunClock returns a RunClock over a clock; nil: this machine's. Until Run is called it equals
+// that clock.
 func NewRunClock(clock *Clock) *RunClock { return &RunClock{clock: clock} }
 
-// Run looks regularly whether the process runs on schedule, until ctx ends.
+// Run checks regularly that the process is scheduled, until ctx ends.
 func (c *RunClock) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.beat()
-		pause.For(ctx, beatEvery)
+		c.tick()
+		pause.For(ctx, tickInterval)
 	}
 }
 
-// beat notes by how much this look is late.
-func (c *RunClock) beat() {
+// tick adds the delay of this tick to the lateness.
+func (c *RunClock) tick() {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.due.IsZero() && now.After(c.due) {
-		c.late += now.Sub(c.due)
+	if !c.nextTick.IsZero() && now.After(c.nextTick) {
+		c.lateness += now.Sub(c.nextTick)
 	}
-	c.due = now.Add(RunClockStep)
+	c.nextTick = now.Add(RunClockStep)
 }
 
-// Now returns the time.
+// Now returns the current time of this clock.
 func (c *RunClock) Now() time.Time {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.due.IsZero() && now.After(c.due) {
-		now = c.due
+	if !c.nextTick.IsZero() && now.After(c.nextTick) {
+		now = c.nextTick
 	}
-	return now.Add(-c.late)
+	return now.Add(-c.lateness)
 }
 
-// Late returns for how long the process was not scheduled since the clock's start.
+// Late returns how long the process has not been scheduled in total since the clock's start.
 func (c *RunClock) Late() time.Duration {
 	return c.clock.Now().Sub(c.Now())
 }
 
-// AfterFunc calls f in a goroutine of its own after d of this clock, unless stop is called before.
+// AfterFunc calls f in its own goroutine when d has passed by this clock, unless stop is called
+// before.
 func (c *RunClock) AfterFunc(d time.Duration, f func()) (stop func()) {
 	t := &runTimer{}
 	begun := c.Now()
@@ -78,20 +80,20 @@
 		if left := d - c.Now().Sub(begun); left <= 0 {
 			f()
 		} else {
-			t.again(left)
+			t.reset(left)
 		}
 	})
 	return t.stop
 }
 
-// runTimer is a timer that is set again until its time has passed by a RunClock.
+// runTimer is a timer that is reset until its duration has passed by a RunClock.
 type runTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-func (t *runTimer) again(d time.Duration) {
+func (t *runTimer) reset(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.stopped {
--- a/internal/steady/run_clock_test.go
+++ b/internal/steady/run_clock_test.go
@@ -7,44 +7,44 @@
 	"github.com/shoenig/test/must"
 )
 
-// A process that is not scheduled hears nothing: the time of its silence does not count, neither
-// before nor after the look that is late, and the clock never goes back.
-func TestRunClockStandsStillWhileTheProcessIsLate(t *testing.T) {
+// A process that is not scheduled reads nothing: that time does not count, neither before nor
+// after the late tick, and the clock never goes back.
+func TestRunClockStopsWhileProcessIsNotScheduled(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
 	c := NewRunClock(NewClockOf(m.read, m.boot))
-	c.beat()
+	c.tick()
 	began := c.Now()
-	m.steady += beatEvery
-	c.beat()
-	must.Eq(t, beatEvery, c.Now().Sub(began), must.Sprint("on schedule"))
+	m.steady += tickInterval
+	c.tick()
+	must.Eq(t, tickInterval, c.Now().Sub(began), must.Sprint("on schedule"))
 	m.steady += 400 * time.Millisecond
-	stood := c.Now()
-	must.Eq(t, 2*beatEvery+beatSlack, stood.Sub(began), must.Sprint("before the look"))
-	c.beat()
-	must.Eq(t, stood, c.Now(), must.Sprint("after the look"))
-	must.Eq(t, 400*time.Millisecond-beatEvery-beatSlack, c.Late())
+	stopped := c.Now()
+	must.Eq(t, 2*tickInterval+tickSlack, stopped.Sub(began), must.Sprint("before the tick"))
+	c.tick()
+	must.Eq(t, stopped, c.Now(), must.Sprint("after the tick"))
+	must.Eq(t, 400*time.Millisecond-tickInterval-tickSlack, c.Late())
 	m.steady += 10 * time.Millisecond
-	must.Eq(t, 10*time.Millisecond, c.Now().Sub(stood), must.Sprint("on schedule again"))
+	must.Eq(t, 10*time.Millisecond, c.Now().Sub(stopped), must.Sprint("on schedule again"))
 }
 
-// Ordinary delays of a timer are no lateness.
+// Ordinary delays of a timer do not count as lateness.
 func TestRunClockCountsOrdinaryDelays(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
 	c := NewRunClock(NewClockOf(m.read, m.boot))
-	c.beat()
+	c.tick()
 	for range 10 {
-		m.steady += beatEvery + beatSlack
-		c.beat()
+		m.steady += tickInterval + tickSlack
+		c.tick()
 	}
 	must.Zero(t, c.Late())
 }
 
-// A suspended machine does not schedule its processes.
-func TestRunClockLeavesOutSuspensions(t *testing.T) {
+// The process is not scheduled while the machine is suspended.
+func TestRunClockExcludesSuspensions(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
 	c := NewRunClock(NewClockOf(m.read, m.boot))
-	c.beat()
+	c.tick()
 	began := c.Now()
 	m.suspended = time.Minute
-	must.LessEq(t, beatEvery+beatSlack, c.Now().Sub(began))
+	must.LessEq(t, tickInterval+tickSlack, c.Now().Sub(began))
 }
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,6 +1,7 @@
-// Package steady holds times of the steady clock for several goroutines. A
-// time.Time from time.Now carries a reading of it, which numbers such as UnixNano
-// lose: ages made of those jump when somebody sets the time of day.
+// Package steady provides clocks that are not affected by changes of the time of day, by
+// suspensions of the machine (Clock) or by delays of the process (RunClock), and a time that
+// goroutines share (Time). Numbers such as UnixNano lose the monotonic reading of a time.Time:
+// ages computed from them jump when the time of day is set.
 package steady
 
 import (
@@ -8,11 +9,10 @@
 	"time"
 )
 
-// Time is a time that goroutines may load and store at once. The zero value holds
-// the zero time.
+// Time is a time.Time that is safe for concurrent use. The zero value holds the zero time.
 type Time struct{ p atomic.Pointer[time.Time] }
 
-// Load returns the time stored last.
+// Load returns the time stored last, the zero time before the first Store.
 func (t *Time) Load() time.Time {
 	if at := t.p.Load(); at != nil {
 		return *at
