--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -120,8 +120,8 @@
 	return append(out, unchanged...)
 }
 
-// buildGroup returns a group that changed, nil if no entry names it; before is the group in
-// the earlier view.
+// buildGroup returns a group that changed, or nil if no instance's entry names it; before is the
+// group in the earlier view.
 func (c *viewDiff) buildGroup(key Key, before *Group, size SizeOf) *Group {
 	var members []*Instance
 	if before != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,7 +51,7 @@
 	Domain   string // fabric domain; empty for plain services
 	Draining bool
 	Slots    int
-	Models   []string // loaded models models
+	Models   []string // loaded models
 	Staged   []string // models on the host's disk, fast to load
 	Group    Membership
 	// Version is the store's revision of the entry.
@@ -71,15 +71,16 @@
 	Members []*Instance
 	// Lapsed holds members whose entries disappeared without a notice and that may still serve.
 	Lapsed []*Instance
-	Size   int // instances that a replica of the model takes; 0 while the model is unknown
+	Size   int // number of instances in a replica of the model; 0 while the model is unknown
 }
 
-// Complete reports whether every member of the group is known, ready and not draining.
+// Complete reports whether every member of the group has an entry, and none is joining, broken
+// or draining.
 func (g *Group) Complete() bool {
 	return g.Size > 0 && len(g.Members) == g.Size && g.allMembersReady()
 }
 
-// allMembersReady reports whether each member with an entry is ready and not draining.
+// allMembersReady reports whether no member with an entry is joining, broken or draining.
 func (g *Group) allMembersReady() bool {
 	for _, m := range g.Members {
 		if m.Draining || m.Group.State == Joining || m.Group.State == Broken {
@@ -112,8 +113,8 @@
 type Gone struct {
 	Instance *Instance
 	At       time.Time
-	// Lapsed: the instance may still serve. It was ready in its group and not draining, and
-	// nothing has shown since that it is dead.
+	// Lapsed: the instance may still serve. It was ready in its group and not draining, and its
+	// entry was removed at most lapsedMemberTimeout ago; for a head it also ends at LeadsUntil.
 	Lapsed bool
 	// Leads: the instance is a lapsed head that may be sent requests, until LeadsUntil.
 	Leads      bool
@@ -127,5 +128,5 @@
 	return gone.LeadsUntil, removed && gone.Leads
 }
 
-// SizeOf returns how many instances a replica of a model takes; 0: unknown.
+// SizeOf returns the number of instances in a replica of a model; 0: unknown.
 type SizeOf func(service, model string) int
--- a/internal/fleet/follower.go
+++ b/internal/fleet/follower.go
@@ -94,12 +94,13 @@
 	listing  *objectapi.Listing
 	stale    bool // the listing may be some seconds old: no view is published before a watch proves it
 	changes  objectapi.Changes
-	provedAt time.Time // when the store was called for it, at the latest
+	provedAt time.Time // when the store was called for it; unless stale, the result is current as of then
 	err      error
 }
 
-// answeredAt returns when the store answered, at the latest: a result that came through
-// another daemon proves only when the store was called for it.
+// answeredAt returns the latest time at which the store is known to have answered: now for a
+// call of this daemon. A result with an age came through another daemon and proves only that the
+// store answered the call made at provedAt.
 func (r *callResult) answeredAt(now time.Time) time.Time {
 	if r.changes.Age != 0 {
 		return r.provedAt
@@ -107,7 +108,7 @@
 	return now
 }
 
-// Run keeps the view current until ctx ends.
+// Run follows the store and keeps the view current until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	results := make(chan callResult)
 	resume := make(chan uint64)
--- a/internal/fleet/follower_test.go
+++ b/internal/fleet/follower_test.go
@@ -115,8 +115,8 @@
 	must.MapNotContainsKey(t, f.View().Instances, "a")
 }
 
-// Guards against a new planner that plans on a view from before its term (fault TWO: its watch
-// had received nothing for nine seconds).
+// Guards against a new planner that plans on a view from before its term (seen as fault TWO: its
+// watch had received nothing for nine seconds).
 func TestRefreshInterruptsWatchForListing(t *testing.T) {
 	f, feed := startFollower(t)
 	feed.lists <- objectapi.Listing{Revision: 5}
@@ -130,10 +130,10 @@
 }
 
 func TestViewIsRebuiltWhenSizesChange(t *testing.T) {
-	feedSize := 0
+	modelSize := 0
 	feed := &scriptedFeed{lists: make(chan objectapi.Listing), follows: make(chan followCall)}
 	decode := func(id string, version uint64, _ []byte) (*Instance, error) { return member(id, 0, Open), nil }
-	f := NewFollower(feed, "entries", decode, NewBelief(heartbeat, func(string, string) int { return feedSize }), zap.NewNop())
+	f := NewFollower(feed, "entries", decode, NewBelief(heartbeat, func(string, string) int { return modelSize }), zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -142,7 +142,7 @@
 	(<-feed.follows).answer <- followAnswer{revision: 5}
 	<-f.Changed()
 	must.False(t, f.View().Groups[Key{"g", 3}].Serving())
-	feedSize = 1
+	modelSize = 1
 	f.SizesChanged()
 	<-f.Changed()
 	must.True(t, f.View().Groups[Key{"g", 3}].Serving())
--- a/internal/fleet/known_state.go
+++ b/internal/fleet/known_state.go
@@ -112,9 +112,10 @@
 	return false
 }
 
-// startHeadGrace lets a head whose entry lapsed while it was open get requests for LeadsFor: an
-// engine cut off from the store keeps serving. Instances that leave may be sent requests for a
-// few seconds anyway, and a dead one is detected by its streams and by probes.
+// startHeadGrace lets a head whose entry lapsed while its group was open get requests until
+// LeadsFor after provedAt: an engine cut off from the store keeps serving. Instances that leave may
+// be sent requests for a few seconds anyway, and a dead one is detected by its streams and by
+// probes.
 func (b *Belief) startHeadGrace(id string, provedAt, now time.Time) {
 	gone := b.removed[id]
 	in := gone.Instance
@@ -162,6 +163,8 @@
 	return true
 }
 
+// forget moves an instance to the removed ones. A ready member that is not draining counts as
+// lapsed; a head does so only by startHeadGrace.
 func (b *Belief) forget(id string, now time.Time) {
 	in := b.instances[id]
 	ready := in.Group.State == Ready || in.Group.State == Open
--- a/internal/fleet/known_state_test.go
+++ b/internal/fleet/known_state_test.go
@@ -40,18 +40,18 @@
 	b := newTestState("a", "b", "leaving")
 	b.Put(&Instance{ID: "leaving", Service: "s", Draining: true, Version: 9})
 	b.StoreFailed(start)
-	back := start.Add(5 * heartbeat)
-	b.StoreAnswered(back)
-	b.Replace(nil, 20, start, back)
+	recoveredAt := start.Add(5 * heartbeat)
+	b.StoreAnswered(recoveredAt)
+	b.Replace(nil, 20, start, recoveredAt)
 	must.Eq(t, []string{"a", "b"}, b.ids())
 	b.Put(&Instance{ID: "a", Service: "s", Version: 21}) // it is alive and wrote its entry again
-	must.False(t, b.Expire(back.Add(outageGrace-1)))
-	must.True(t, b.Expire(back.Add(outageGrace)))
+	must.False(t, b.Expire(recoveredAt.Add(outageGrace-1)))
+	must.True(t, b.Expire(recoveredAt.Add(outageGrace)))
 	must.Eq(t, []string{"a"}, b.ids())
 }
 
-// Remove reports whether the instance is kept, for the log: otherwise a removal that was only
-// received and one that was applied look alike there.
+// Remove reports whether the instance is kept, as the log must show it: a removal during the
+// grace, which keeps the instance, and one that drops it looked alike there.
 func TestRemoveReportsWhetherInstanceIsKept(t *testing.T) {
 	b := newTestState("a", "b")
 	must.False(t, b.Remove("a", start, start))
@@ -72,11 +72,11 @@
 func TestNothingExpiresDuringSecondOutage(t *testing.T) {
 	b := newTestState("a")
 	b.StoreFailed(start)
-	back := start.Add(5 * heartbeat)
-	b.StoreAnswered(back)
-	b.Remove("a", start, back)
-	b.StoreFailed(back.Add(time.Second))
-	must.False(t, b.Expire(back.Add(time.Minute)))
+	recoveredAt := start.Add(5 * heartbeat)
+	b.StoreAnswered(recoveredAt)
+	b.Remove("a", start, recoveredAt)
+	b.StoreFailed(recoveredAt.Add(time.Second))
+	must.False(t, b.Expire(recoveredAt.Add(time.Minute)))
 	must.Eq(t, []string{"a"}, b.ids())
 }
 
@@ -171,8 +171,8 @@
 	b.Put(member("b", 1, Ready))
 	must.True(t, b.View(start).Groups[Key{"g", 3}].Complete())
 	b.Remove("b", start, start)
-	back := member("b", 1, Ready)
-	back.Group.Epoch = 4
-	b.Put(back)
+	returned := member("b", 1, Ready)
+	returned.Group.Epoch = 4
+	b.Put(returned)
 	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving(), must.Sprint("the member is in another group"))
 }
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -91,7 +91,8 @@
 	must.MapContainsKey(t, f.View().Instances, "b")
 }
 
-// Backoff after failed watches takes up to a second, but ends when the store answers again.
+// The backoff after failed watches grows to maxRetryBackoff, but ends when the store answers
+// again.
 func TestFollowerSkipsBackoffWhenStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, feed := startFollower(t)
