--- a/internal/steady/clock.go
+++ b/internal/steady/clock.go
@@ -23,7 +23,7 @@
 	boot func() time.Duration
 
 	start       time.Time     // time of day at the clock's start
-	bootAtStart time.Duration // boot time at the clock's start
+	bootAtStart time.Duration // time since the machine's start, at the clock's start
 
 	mu        sync.Mutex
 	drift     time.Duration // of the time of day against the monotonic clock, at the last check
@@ -31,8 +31,8 @@
 	resumed   chan struct{}
 }
 
-// NewClock returns a clock of this machine. It makes a system call only when the time of day has
-// moved against the monotonic clock, as it does in every suspension.
+// NewClock returns a clock of this machine. The clock makes a system call only when the time of day
+// has moved against the monotonic clock, as it does in every suspension.
 func NewClock() *Clock {
 	start := time.Now()
 	return NewClockOf(func() (time.Time, time.Duration) {
@@ -41,8 +41,8 @@
 	}, bootTime)
 }
 
-// NewClockOf returns a clock of other sources, for tests and simulations: read returns the time
-// of day and the monotonic time, boot a monotonic time that includes suspensions.
+// NewClockOf returns a clock that reads other sources, for tests and simulations: read returns the
+// time of day and the monotonic time, boot a monotonic time that includes suspensions.
 func NewClockOf(read func() (time.Time, time.Duration), boot func() time.Duration) *Clock {
 	day, steady := read()
 	return &Clock{read: read, boot: boot, start: day.Add(-steady), bootAtStart: boot() - steady, resumed: make(chan struct{})}
--- a/internal/steady/run_clock.go
+++ b/internal/steady/run_clock.go
@@ -14,8 +14,8 @@
 	tickInterval = 25 * time.Millisecond
 	// tickSlack is how late a tick may be through ordinary delays of the scheduler.
 	tickSlack = 10 * time.Millisecond
-	// RunClockStep is how far a RunClock may lag: after a delay it stops until the first tick of
-	// the resumed process.
+	// RunClockStep is how far a RunClock may lag behind the time for which the process was
+	// scheduled: after a delay it stays stopped until the first tick of the resumed process.
 	RunClockStep = tickInterval + tickSlack
 )
 
@@ -27,7 +27,7 @@
 	clock    *Clock
 	mu       sync.Mutex
 	nextTick time.Time     // when the next tick is due at the latest; zero: there was none yet
-	lateness time.Duration // total time for which the process was not scheduled
+	lateness time.Duration // total delay of the ticks: how long the process was not scheduled
 }
 
 // NewRunClock returns a RunClock over a clock; nil: this machine's. Until Run is called it equals
@@ -77,10 +77,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timer = time.AfterFunc(d, func() {
-		if left := d - c.Now().Sub(begun); left <= 0 {
+		if remaining := d - c.Now().Sub(begun); remaining <= 0 {
 			f()
 		} else {
-			t.reset(left)
+			t.reset(remaining)
 		}
 	})
 	return t.stop
--- a/internal/steady/run_clock_test.go
+++ b/internal/steady/run_clock_test.go
@@ -27,8 +27,8 @@
 	must.Eq(t, 10*time.Millisecond, c.Now().Sub(stopped), must.Sprint("on schedule again"))
 }
 
-// Ordinary delays of a timer do not count as lateness.
-func TestRunClockCountsOrdinaryDelays(t *testing.T) {
+// A delay of a timer up to tickSlack does not count as lateness.
+func TestOrdinaryTimerDelaysAreNotLateness(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
 	c := NewRunClock(NewClockOf(m.read, m.boot))
 	c.tick()
