--- a/internal/front/calls.go
+++ b/internal/front/calls.go
@@ -24,13 +24,13 @@
 type countedFeed struct {
 	objectapi.Feed
 	probeKey     string // key of the object whose reads probe whether the store answers
-	set          *metrics.Set
+	metricSet    *metrics.Set
 	reachability *fleet.Reachability
 	clock        *steady.Clock // nil: this machine's
 	log          *zap.Logger
 	limiter      outageLimiter
 	mu           sync.Mutex
-	total        map[string]uint64 // number of calls by call and kind
+	total        map[string]uint64 // number of calls, by name of the call and kind of object
 	outageSince  time.Time         // since when calls get no answer, as logged; zero: the store answers
 	heldBack     uint64            // calls held back in this outage
 }
@@ -38,7 +38,7 @@
 // newCountedFeed returns a feed that calls feed; calls about the object probeKey are never held
 // back.
 func newCountedFeed(feed objectapi.Feed, probeKey string, reachability *fleet.Reachability, set *metrics.Set, log *zap.Logger) *countedFeed {
-	return &countedFeed{Feed: feed, probeKey: probeKey, reachability: reachability, set: set, log: log, total: map[string]uint64{},
+	return &countedFeed{Feed: feed, probeKey: probeKey, reachability: reachability, metricSet: set, log: log, total: map[string]uint64{},
 		limiter: outageLimiter{reachability: reachability}}
 }
 
@@ -51,13 +51,13 @@
 	c.logOutage(call, key, sentAt, now, err)
 }
 
-// logOutage logs the call that showed that the store does not answer, and the one that showed
-// that it answers again.
+// logOutage logs the call that showed that the store does not answer, and later the call that
+// showed that it answers again.
 func (c *countedFeed) logOutage(call, key string, sentAt, now time.Time, err error) {
 	since, unreachable := c.reachability.UnreachableSince()
 	c.mu.Lock()
-	before, held := c.outageSince, c.heldBack
-	changed := unreachable == before.IsZero()
+	loggedSince, held := c.outageSince, c.heldBack
+	changed := unreachable == loggedSince.IsZero()
 	if changed {
 		c.outageSince, c.heldBack = since, 0
 	}
@@ -72,7 +72,7 @@
 	case err != nil: // this call got no answer: another daemon's confirmation ended the outage
 		shownBy = []zap.Field{zap.String("call", "relays_proof")}
 	}
-	c.log.Info("store answers again", append(shownBy, zap.Int64("absent_ms", now.Sub(before).Milliseconds()), zap.Uint64("held_back", held))...)
+	c.log.Info("store answers again", append(shownBy, zap.Int64("absent_ms", now.Sub(loggedSince).Milliseconds()), zap.Uint64("held_back", held))...)
 }
 
 // allow reports whether a call may be made now, and counts one that is held back.
@@ -84,18 +84,18 @@
 	c.heldBack++
 	c.mu.Unlock()
 	kind, _, _ := strings.Cut(key, "/")
-	c.set.GetOrCreateCounter(fmt.Sprintf("pearlanding_store_calls_held_back_total{call=%q,kind=%q}", call, kind)).Inc()
+	c.metricSet.GetOrCreateCounter(fmt.Sprintf("pearlanding_store_calls_held_back_total{call=%q,kind=%q}", call, kind)).Inc()
 	return false
 }
 
-// count counts one call. Calls that may be answered from a stale copy are only counted, as they
-// do not show whether the store is reachable.
+// count counts one call without recording its outcome in reachability: a call that may be
+// answered from a stale copy does not show whether the store is reachable.
 func (c *countedFeed) count(call, key string, err error) {
 	kind, _, _ := strings.Cut(key, "/")
 	c.mu.Lock()
 	c.total[call+" "+kind]++
 	c.mu.Unlock()
-	c.set.GetOrCreateCounter(fmt.Sprintf("pearlanding_store_calls_total{call=%q,kind=%q,outcome=%q}", call, kind, outcome(err))).Inc()
+	c.metricSet.GetOrCreateCounter(fmt.Sprintf("pearlanding_store_calls_total{call=%q,kind=%q,outcome=%q}", call, kind, outcome(err))).Inc()
 }
 
 // outcome returns the name of an error of the store for a metric.
@@ -176,7 +176,7 @@
 	return version, err
 }
 
-// Update implements objectapi.Feed.
+// Update implements objectapi.Feed. Updates of the lease are never held back: it would expire.
 func (c *countedFeed) Update(ctx context.Context, key string, version uint64, value []byte) (uint64, error) {
 	if key != leaseKey && !c.allow("update", key) {
 		return 0, errHeldBack
--- a/internal/front/config.go
+++ b/internal/front/config.go
@@ -15,15 +15,16 @@
 )
 
 // Times of following the configuration. Every call is charged, and there may be hundreds
-// of daemons; but a watch may receive nothing, so only reads count.
+// of daemons; but a watch may receive nothing, so only reads prove a configuration.
 const (
 	// configReadShare of the bound on a change, and revokeReadShare of the bound on removed
 	// keys, may pass between two reads; the rest is for slow answers and, for keys, for a
 	// lost read.
 	configReadShare = 0.7
 	revokeReadShare = 0.5
-	// relayReadShare of that time passes between the reads of a relay: its peers date their
-	// proofs by its reads, and must receive the next one before they read themselves.
+	// relayReadShare of the time between two reads of another daemon passes between the reads of a
+	// relay: its peers date their proofs by its reads, and must receive the next one before they
+	// read themselves.
 	relayReadShare = 0.5
 	// defaultReadInterval applies where the deployment sets neither bound.
 	defaultReadInterval = 2 * time.Second
@@ -43,14 +44,14 @@
 // readInterval returns how often the whole configuration is read: a read either brings a
 // change or proves that there is none.
 func readInterval(b Bounds) time.Duration {
-	every := defaultReadInterval
+	interval := defaultReadInterval
 	if b.Config > 0 {
-		every = min(every, time.Duration(configReadShare*float64(b.Config)))
+		interval = min(interval, time.Duration(configReadShare*float64(b.Config)))
 	}
 	if b.Revoke > 0 {
-		every = min(every, time.Duration(revokeReadShare*float64(b.Revoke)))
+		interval = min(interval, time.Duration(revokeReadShare*float64(b.Revoke)))
 	}
-	return every
+	return interval
 }
 
 // configFollower keeps the configuration in force. It never goes back to an older version,
@@ -64,12 +65,13 @@
 	key         string
 	decode      func(value []byte) (*routes.Config, error)
 	log         *zap.Logger
-	version     uint64 // of the store's object
+	version     uint64 // of the store's object that is in force
 	unreachable bool
 	bounds      func() Bounds
 	changed     func() // called after another configuration came into force
-	// onRead, if set, is called after every successful read with the object's version and the
-	// time since when it is proved. serving, if set, reports whether peers rely on these reads.
+	// onRead, if set, is called after every successful read with the object's version and the time
+	// as of which that version is proved current. serving, if set, reports whether peers rely on
+	// these reads.
 	onRead  func(version uint64, provedAt time.Time)
 	serving func() bool
 	// planning, if set, reports whether this daemon forms the groups.
@@ -116,8 +118,8 @@
 // Table returns the routing table in force, or nil.
 func (f *configFollower) Table() *routes.Table { return f.Current().Table }
 
-// storeRecovered passes to Run that another daemon reported that the store answers again. It
-// never blocks.
+// storeRecovered tells Run that the store answers again, as another daemon reported. It never
+// blocks.
 func (f *configFollower) storeRecovered() {
 	select {
 	case f.recovered <- struct{}{}:
@@ -229,11 +231,11 @@
 // interval returns the time between two reads while no other daemon confirms the version in
 // force.
 func (f *configFollower) interval() time.Duration {
-	every := readInterval(f.bounds())
+	interval := readInterval(f.bounds())
 	if f.serving != nil && f.serving() {
-		every = time.Duration(relayReadShare * float64(every))
+		interval = time.Duration(relayReadShare * float64(interval))
 	}
-	return every
+	return interval
 }
 
 // noConfigPause returns the pause after a read that found no configuration.
--- a/internal/front/config_test.go
+++ b/internal/front/config_test.go
@@ -88,21 +88,21 @@
 func TestConfirmedNewerVersionIsReadAtOnceUnlessStoreIsDown(t *testing.T) {
 	f := newTestFollower()
 	f.bounds = func() Bounds { return Bounds{} }
-	asked := f.clock.Now().Add(-time.Second)
-	f.schedule.recordSent(asked)
-	f.applyRead(readResult{source: sourceRead, object: object(5, "50"), provedAt: asked})
-	must.Eq(t, asked.Add(readInterval(Bounds{})), f.due())
-	f.applyConfirmation(confirmation{6, asked.Add(time.Second)})
-	must.Eq(t, asked.Add(minReadPause), f.due())
-
-	f.schedule.recordSent(asked.Add(time.Second)) // and gets no answer
-	must.Eq(t, asked.Add(time.Second+minProbeInterval), f.due())
-	f.applyConfirmation(confirmation{7, asked.Add(2 * time.Second)})
-	must.Eq(t, asked.Add(time.Second+minProbeInterval), f.due())
+	sentAt := f.clock.Now().Add(-time.Second)
+	f.schedule.recordSent(sentAt)
+	f.applyRead(readResult{source: sourceRead, object: object(5, "50"), provedAt: sentAt})
+	must.Eq(t, sentAt.Add(readInterval(Bounds{})), f.due())
+	f.applyConfirmation(confirmation{6, sentAt.Add(time.Second)})
+	must.Eq(t, sentAt.Add(minReadPause), f.due())
+
+	f.schedule.recordSent(sentAt.Add(time.Second)) // and gets no answer
+	must.Eq(t, sentAt.Add(time.Second+minProbeInterval), f.due())
+	f.applyConfirmation(confirmation{7, sentAt.Add(2 * time.Second)})
+	must.Eq(t, sentAt.Add(time.Second+minProbeInterval), f.due())
 	f.applyRead(readResult{err: errors.New("down")})
-	must.Eq(t, asked.Add(time.Second+minProbeInterval), f.due())
-	f.applyConfirmation(confirmation{5, asked.Add(2 * time.Second)}) // it proves the version in force
-	must.Eq(t, asked.Add(2*time.Second), f.Current().Proved)
+	must.Eq(t, sentAt.Add(time.Second+minProbeInterval), f.due())
+	f.applyConfirmation(confirmation{5, sentAt.Add(2 * time.Second)}) // it proves the version in force
+	must.Eq(t, sentAt.Add(2*time.Second), f.Current().Proved)
 }
 
 // The backoff of unanswered reads grows to the allowed maximum and no further: the length of an
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -42,7 +42,9 @@
 	DecodeConfig   func(value []byte) (*routes.Config, error)
 	DecodeInstance fleet.Decode
 	Codec          gateway.Codec
-	Orders         func(*upstream.Pool, Hear) (formation.Orders, formation.Prober)
+	// Orders returns the senders of orders and of probes to instances. They pass the signals in
+	// the answers to the function given.
+	Orders func(*upstream.Pool, Hear) (formation.Orders, formation.Prober)
 }
 
 // Hear receives the backpressure signals that an instance sent in an answer to an order or a
@@ -69,11 +71,13 @@
 	idleConnTimeout = 4 * time.Second
 	// callerIdleTimeout is how long an idle connection of a caller is kept.
 	callerIdleTimeout = 2 * time.Minute
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout bounds the reading of a request's headers, on the addresses of callers,
+	// readiness and metrics.
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes bounds a request's headers, whatever the configuration allows.
 	maxHeaderBytes = 64 << 10
-	sweepInterval  = time.Second
+	// sweepInterval is how often state that is no longer needed is dropped.
+	sweepInterval = time.Second
 	// memoryLimitShare is the part of the process's memory that is set as the memory limit of the
 	// garbage collector.
 	memoryLimitShare = 0.6
@@ -83,12 +87,12 @@
 
 // Times of a planned stop, from the signal on.
 const (
-	// stopListenDelay is how long new connections are still accepted: two readiness checks, a
-	// second apart, must fail before none arrive.
+	// stopListenDelay is how long new connections are still accepted: they stop arriving only
+	// after two readiness checks, a second apart, have failed.
 	stopListenDelay = 2500 * time.Millisecond
-	// stopMargin is the rest of the grace at which requests still in progress are cut off.
+	// stopMargin is how long before the end of the grace requests still in progress are cut off.
 	stopMargin = 300 * time.Millisecond
-	// defaultGrace applies where the deployment sets no grace.
+	// defaultGrace is the time from the stop signal to the kill where the deployment sets none.
 	defaultGrace = 8 * time.Second
 )
 
@@ -122,10 +126,11 @@
 	keeper        *quarantine.Keeper
 	stopping      atomic.Bool
 	startedAt     time.Time
-	// refusedLoaded: this process has read the store's record of refused requests, or found none.
+	// refusedLoaded is true once this process has read the store's record of refused requests or
+	// found that there is none.
 	refusedLoaded atomic.Bool
-	// dial connects to other daemons, nil: by TCP; uniform draws a duration in [low, high).
-	// Tests replace both.
+	// dial connects to other daemons; nil: by TCP. uniform draws a duration in [low, high); build
+	// sets it if it is nil. Tests replace both.
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 	uniform func(low, high time.Duration) time.Duration
 }
@@ -143,25 +148,25 @@
 	}
 	holder := s.Node + "/" + uuid.NewString()
 	d.startedAt = d.Clock.Now()
-	peers := d.listenForPeers(&s)
+	peerListener := d.listenForPeers(&s)
 	d.build(s, holder)
-	callers, err := net.Listen("tcp", s.Callers)
+	callerListener, err := net.Listen("tcp", s.Callers)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	ready, err := net.Listen("tcp", s.Readiness)
+	readinessListener, err := net.Listen("tcp", s.Readiness)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	d.gateway = d.newGateway()
 	server := d.callersServer()
-	go d.serve(server, callers)
-	go d.serve(d.readinessServer(), ready)
+	go d.serve(server, callerListener)
+	go d.serve(d.readinessServer(), readinessListener)
 	d.serveMetrics()
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	if peers != nil {
-		go d.answerPeers(work, peers)
+	if peerListener != nil {
+		go d.answerPeers(work, peerListener)
 		defer d.peers.Close()
 	}
 	wait := d.startLoops(ctx, work)
@@ -173,6 +178,8 @@
 	return nil
 }
 
+// build creates the daemon's parts without starting them. holder names this process in the lease
+// and in its zone's record of the relay.
 func (d *Daemon) build(s Settings, holder string) {
 	if d.uniform == nil {
 		d.uniform = func(low, high time.Duration) time.Duration { return low + rand.N(high-low) }
@@ -223,7 +230,7 @@
 	return d.Clock.Since(since).Seconds()
 }
 
-// modelSize returns how many instances a replica of a model takes; 0: unknown.
+// modelSize returns the number of instances in a replica of a model; 0: unknown.
 func (d *Daemon) modelSize(service, model string) int {
 	table := d.config.Table()
 	if table == nil {
@@ -292,6 +299,7 @@
 	}
 }
 
+// sweep regularly drops state that is no longer needed, until ctx ends.
 func (d *Daemon) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, sweepInterval)
@@ -325,15 +333,15 @@
 }
 
 // startHoldTimeout is how long after its start a daemon holds requests while it reads what it
-// needs: two or three calls of some ms each. While all daemons start, callers that are refused
-// would be refused again by the daemon they retry at.
+// needs: two or three calls of some ms each. While all daemons start, a caller that is refused
+// would be refused again by the next daemon that it tries.
 const startHoldTimeout = 500 * time.Millisecond
 
 // startingUp reports whether this daemon has just started and is still reading what it needs to
 // serve.
 func (d *Daemon) startingUp() bool {
-	known := d.ready() && (d.relay == nil || d.refusedLoaded.Load())
-	return !known && d.Clock.Since(d.startedAt) < startHoldTimeout
+	loaded := d.ready() && (d.relay == nil || d.refusedLoaded.Load())
+	return !loaded && d.Clock.Since(d.startedAt) < startHoldTimeout
 }
 
 // ready reports whether this daemon can serve requests.
@@ -393,8 +401,8 @@
 	if grace <= 0 {
 		grace = defaultGrace
 	}
-	listen := min(stopListenDelay, grace/2)
-	time.Sleep(listen)
+	listenFor := min(stopListenDelay, grace/2)
+	time.Sleep(listenFor)
 	ctx, cancel := context.WithTimeout(context.Background(), d.Clock.Until(begun.Add(grace-stopMargin)))
 	defer cancel()
 	err := server.Shutdown(ctx)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -170,13 +170,13 @@
 			j.setInTouch(relay, true)
 		})
 	case 2: // most daemons are killed together, the relay among them
-		some := []int{relay}
+		killed := []int{relay}
 		for i := range n {
 			if i != relay && j.rng.IntN(5) < 3 {
-				some = append(some, i)
+				killed = append(killed, i)
 			}
 		}
-		j.kill(some...)
+		j.kill(killed...)
 	case 3: // the relay alone is cut off from the store
 		j.setInTouch(relay, false)
 		name := j.zone.daemons[relay].Settings().Node
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -26,14 +26,14 @@
 
 // limitedInstance is one instance that announces a limit to the daemons of a zone.
 type limitedInstance struct {
-	checker     *leavingChecker
-	perSecond   float64 // requests offered to it
-	limit       float64 // 0: none
-	firstAnswer map[*Daemon]time.Time
-	firstSeen   map[*Daemon]time.Time
-	pending     []func(now time.Time) (done bool)
-	counted     []time.Time // arrivals from daemons that must obey the limit
-	total       int
+	checker          *leavingChecker
+	perSecond        float64 // requests offered to it
+	limit            float64 // 0: none
+	firstLimitAnswer map[*Daemon]time.Time
+	firstSeen        map[*Daemon]time.Time
+	pending          []func(now time.Time) (answered bool) // requests not yet answered
+	counted          []time.Time                           // arrivals from daemons that must obey the limit
+	total            int
 }
 
 var limitedIncarnation = backpressure.Life{Instance: "i-limited"}
@@ -41,13 +41,13 @@
 // tick answers pending requests and offers new ones; it is called every 20 ms.
 func (l *limitedInstance) tick() {
 	now := time.Now()
-	left := l.pending[:0]
-	for _, do := range l.pending {
-		if !do(now) {
-			left = append(left, do)
+	remaining := l.pending[:0]
+	for _, answer := range l.pending {
+		if !answer(now) {
+			remaining = append(remaining, answer)
 		}
 	}
-	l.pending = left
+	l.pending = remaining
 	for i, d := range l.checker.zone.daemons {
 		if _, dead := l.checker.restartAt[i]; dead {
 			continue
@@ -68,7 +68,7 @@
 		return
 	}
 	l.total++
-	answeredAt, known := l.firstAnswer[d]
+	answeredAt, known := l.firstLimitAnswer[d]
 	if inTouch && (known && now.Sub(answeredAt) >= limitDelay || now.Sub(l.firstSeen[d]) >= limitStartDelay) {
 		l.counted = append(l.counted, now)
 	}
@@ -78,8 +78,8 @@
 			return false
 		}
 		d.gate.Observe(limitedIncarnation, backpressure.Signals{Limit: limit, Conclusive: true}, now, at)
-		if _, known := l.firstAnswer[d]; limit > 0 && !known {
-			l.firstAnswer[d] = at
+		if _, known := l.firstLimitAnswer[d]; limit > 0 && !known {
+			l.firstLimitAnswer[d] = at
 		}
 		return true
 	})
@@ -114,7 +114,7 @@
 					z := newSimZoneWith(ctx, t, daemons, seed, func(ctx context.Context, d *Daemon) { go d.newExchange().Run(ctx) })
 					defer z.shutdown(cancel)
 					j := &leavingChecker{zone: z, ctx: ctx, rng: rng, inTouchSince: make([]time.Time, daemons), restartAt: map[int]time.Time{}}
-					l := &limitedInstance{checker: j, perSecond: 60, firstAnswer: map[*Daemon]time.Time{}, firstSeen: map[*Daemon]time.Time{}}
+					l := &limitedInstance{checker: j, perSecond: 60, firstLimitAnswer: map[*Daemon]time.Time{}, firstSeen: map[*Daemon]time.Time{}}
 					j.tick = l.tick
 					j.run(startupTime)
 					l.limit = 0.5 + 3*rng.Float64()
--- a/internal/front/outage_test.go
+++ b/internal/front/outage_test.go
@@ -21,16 +21,16 @@
 func TestCallsAreHeldBackDuringOutage(t *testing.T) {
 	reach := fleet.NewReachability(time.Second)
 	o := &outageLimiter{reachability: reach}
-	asked := 0
+	allowed := 0
 	for at := time.Duration(0); at < 12*time.Second; at += 300 * time.Millisecond {
 		for range 4 {
 			if o.allow(testStart.Add(at)) {
-				asked++
+				allowed++
 				reach.RecordFailure(testStart.Add(at))
 			}
 		}
 	}
-	must.LessEq(t, 4*4+3, asked)
+	must.LessEq(t, 4*4+3, allowed)
 	reach.RecordAnswer(testStart.Add(12 * time.Second))
 	for range 4 {
 		must.True(t, o.allow(testStart.Add(12*time.Second)))
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -20,19 +20,20 @@
 	// plannerUpdatePause is the pause of the planner: each of its steps waits for the changes
 	// that the step before caused.
 	plannerUpdatePause = 200 * time.Millisecond
-	// updatePauseShare of the bound on leaving instances is the pause of the other daemons; as
-	// much again is for a slow answer.
+	// updatePauseShare of the bound on leaving instances is the pause of the other daemons; an
+	// equal share is for a slow answer.
 	updatePauseShare = 0.4
 	// defaultUpdatePause applies where there is no such bound.
 	defaultUpdatePause = 700 * time.Millisecond
-	// staleShare of the same bound is the age at which a relay's answer is too old; the rest
-	// is for a call to the store instead.
+	// staleShare of the bound on leaving instances is the age at which a relay's answer is too old;
+	// the rest is for a call to the store instead.
 	staleShare = 0.75
-	// headGraceShare of it is how long a head may be sent requests after the last proof that its
-	// now missing entry existed, as instances cut off from the store keep serving; the rest is
-	// for the pauses between views.
+	// headGraceShare of the same bound is how long a head may be sent requests after the last proof
+	// that its now missing entry existed, as instances cut off from the store keep serving; the
+	// rest is for the pauses between views.
 	headGraceShare = 0.75
-	// defaultStaleAfter applies to staleShare where there is no such bound.
+	// defaultStaleAfter is the age at which a relay's answer is too old where there is no such
+	// bound.
 	defaultStaleAfter = 2 * time.Second
 )
 
@@ -84,7 +85,7 @@
 	return l
 }
 
-// newRelay creates this daemon's node of the relays of its zone.
+// newRelay returns the node with which this daemon uses its zone's relay or is the relay.
 func (d *Daemon) newRelay(s Settings, holder string) *relay.Node {
 	d.peers = relay.NewPeers()
 	if d.dial != nil {
@@ -116,7 +117,7 @@
 
 // progress returns the groups whose running streams stalled for this daemon recently, and those
 // whose streams deliver events. The picker runs on the run clock, so the time passed in is ignored.
-func (d *Daemon) progress(time.Time) (stopped, alive []fleet.Key) {
+func (d *Daemon) progress(time.Time) (stalled, progressing []fleet.Key) {
 	return d.picker.Progress(d.runClock.Now())
 }
 
@@ -142,18 +143,18 @@
 	}}
 }
 
-// poolRule returns the rule of this zone's pool of repeats.
+// poolRule returns the rule by which this zone's pool of repeats is filled.
 func (d *Daemon) poolRule() dispatch.PoolRule {
 	s := d.Settings()
 	return dispatch.PoolRule{Extra: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow, Pools: s.Zones}
 }
 
-// borrow asks the zone's pool for a repeat of a service and reports whether it got one;
-// mayBorrow reports whether the pool probably has one.
+// borrow asks the zone's pool for a repeat of a service and reports whether it got one.
 func (d *Daemon) borrow(ctx context.Context, service string) bool {
 	return d.relay != nil && d.relay.Repeat(ctx, service)
 }
 
+// mayBorrow reports whether the zone's pool probably has a repeat of a service.
 func (d *Daemon) mayBorrow(service string) bool {
 	return d.relay != nil && d.relay.MayRepeat(service)
 }
@@ -189,17 +190,17 @@
 		return plannerUpdatePause
 	}
 	if d.relay != nil {
-		if pace := d.relay.Pace(); pace > 0 {
-			return pace
+		if relayPause := d.relay.Pace(); relayPause > 0 {
+			return relayPause
 		}
 	}
 	return d.drainShare(updatePauseShare, defaultUpdatePause)
 }
 
-// drainShare returns a part of the bound on leaving instances, def if there is no bound.
-func (d *Daemon) drainShare(part float64, def time.Duration) time.Duration {
+// drainShare returns a share of the bound on leaving instances, def if there is no bound.
+func (d *Daemon) drainShare(share float64, def time.Duration) time.Duration {
 	if bound := d.Settings().Bounds.Drain; bound > 0 {
-		return time.Duration(part * float64(bound))
+		return time.Duration(share * float64(bound))
 	}
 	return def
 }
--- a/internal/front/quiet_test.go
+++ b/internal/front/quiet_test.go
@@ -25,12 +25,12 @@
 	for seed := range uint64(8) {
 		simulateZone(t, 4, seed, func(j *configChecker) {
 			time.Sleep(startupTime)
-			before, calls := strings.Count(j.zone.logText(), "relay lost"), j.zone.store.callCount()
+			lostBefore, callsBefore := strings.Count(j.zone.logText(), "relay lost"), j.zone.store.callCount()
 			j.run(quietTime)
-			must.Eq(j.zone.t, before, strings.Count(j.zone.logText(), "relay lost"), must.Sprint("relays were lost"))
+			must.Eq(j.zone.t, lostBefore, strings.Count(j.zone.logText(), "relay lost"), must.Sprint("relays were lost"))
 			// A relay watches twice a second and reads the configuration every 0.7 seconds; no other daemon
 			// calls the store.
-			must.LessEq(j.zone.t, int(3.6*quietTime.Seconds()), j.zone.store.callCount()-calls)
+			must.LessEq(j.zone.t, int(3.6*quietTime.Seconds()), j.zone.store.callCount()-callsBefore)
 		})
 	}
 }
--- a/internal/front/reads.go
+++ b/internal/front/reads.go
@@ -21,15 +21,15 @@
 type readSource string
 
 const (
-	sourceRead      readSource = "read"                  // one whole read proves it
-	sourceStaleRead readSource = "old_read_relays_proof" // a read that may be stale, proved by a relay's confirmation
+	sourceRead      readSource = "read"                  // a current read, which proves its own content
+	sourceStaleRead readSource = "old_read_relays_proof" // a read that may be stale, with another daemon's confirmation as its proof
 )
 
 // readResult is the result of one read.
 type readResult struct {
 	source   readSource
 	object   objectapi.Object
-	provedAt time.Time // since when the object is proved current
+	provedAt time.Time // the object is proved current as of this time
 	err      error
 }
 
@@ -40,7 +40,7 @@
 type readSchedule struct {
 	sentAt     time.Time     // when the last read was sent
 	unanswered int           // reads sent since the store answered one, or another daemon reported its recovery
-	provedAt   time.Time     // since when the newest answer proves its content
+	provedAt   time.Time     // the newest answer is proved current as of this time
 	missing    bool          // the last answer was: no configuration
 	hint       *confirmation // a newer version that another daemon read
 }
--- a/internal/front/recovery_test.go
+++ b/internal/front/recovery_test.go
@@ -93,7 +93,7 @@
 }
 
 // simulateZone runs a subtest with a zone of the given number of daemons in virtual time.
-func simulateZone(t *testing.T, daemons int, seed uint64, play func(j *configChecker)) {
+func simulateZone(t *testing.T, daemons int, seed uint64, scenario func(j *configChecker)) {
 	t.Helper()
 	t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -102,7 +102,7 @@
 			defer z.shutdown(cancel)
 			j := newConfigChecker(z)
 			j.run(startupTime)
-			play(j)
+			scenario(j)
 			if len(j.violations) > 0 {
 				t.Errorf("%d checks found an old configuration; first: %s\n%s", len(j.violations), j.violations[0], z.logText())
 			}
@@ -115,7 +115,7 @@
 // had been acknowledged 2.35 seconds earlier. A daemon took the store for down until one of its own
 // calls was answered, and made one call in three seconds: a watch, which is answered only when
 // something changes. Its relay had been answered, but waited for a change of an entry before it
-// reported so. From the log of one of the two:
+// notified its zone. From the log of one of the two:
 //
 //	10.4   last call to the store, unanswered
 //	11.0   the store answers again; 11.932 the relay reads version 20
@@ -184,7 +184,7 @@
 			relay = d
 		}
 	}
-	some := j.zone.daemons[int(between(0, time.Duration(len(j.zone.daemons))))].Settings().Node
+	daemon := j.zone.daemons[int(between(0, time.Duration(len(j.zone.daemons))))].Settings().Node
 	switch kind {
 	case 0: // an outage of the store, and before it an unreachable relay
 		j.zone.net.setBlocked(relay.Settings().Peers, true)
@@ -195,10 +195,10 @@
 		j.run(between(time.Second, 8*time.Second))
 		j.setStoreDown(false)
 	case 1: // one daemon alone is cut off from the store
-		j.setCut(some, true)
+		j.setCut(daemon, true)
 		j.writeConfig()
 		j.run(between(time.Second, 8*time.Second))
-		j.setCut(some, false)
+		j.setCut(daemon, false)
 	case 2: // the relay is cut off from the store, then an outage of the store
 		j.setCut(relay.Settings().Node, true)
 		j.run(between(time.Second, 4*time.Second))
@@ -219,6 +219,6 @@
 		j.run(between(20*time.Millisecond, time.Second))
 	}
 	if kind == 1 {
-		j.zone.store.writeEntry(some)
+		j.zone.store.writeEntry(daemon)
 	}
 }
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Settings describes a daemon and its bounds. The program that starts the daemon
-// fills it from the deployment's settings file; a zero bound means that the
-// deployment sets none.
+// Settings describes one daemon and the bounds that it must keep. The program that starts the
+// daemon fills it from the deployment's settings file; a zero bound means that the deployment sets
+// none.
 type Settings struct {
 	Node      string
 	Zone      string
-	Zones     int // failure domains in which daemons run
+	Zones     int // number of failure domains in which daemons run
 	IP        string
 	Bootstrap bool   // all daemons start for the first time, together
 	Callers   string // address that serves callers
@@ -16,8 +16,8 @@
 	Peers     string // address that serves other daemons; empty: not served
 	Store     Store
 	Heartbeat time.Duration // between the writes of an instance's own entry
-	MaxFiles  int           // file descriptors of the process
-	MemoryMB  int           // memory of the process
+	MaxFiles  int           // limit on the process's file descriptors
+	MemoryMB  int           // memory that the process may use
 	LinkMbps  float64       // rate of the machine's link in Mbit/s
 	Bounds    Bounds
 }
--- a/internal/front/start_test.go
+++ b/internal/front/start_test.go
@@ -66,7 +66,7 @@
 }
 
 // killAll ends all processes. Those for which back returns true are restarted, all within 70 ms.
-func (b *massRestart) killAll(back func(i int) bool) {
+func (b *massRestart) killAll(restarts func(i int) bool) {
 	for i := range b.zone.daemons {
 		b.zone.kill(i)
 		b.zone.net.closeConns(b.zone.daemons[i].Settings().Peers)
@@ -74,7 +74,7 @@
 	time.Sleep(restartDelay)
 	b.startedAt, b.knownAfter = make([]time.Time, bigZoneDaemons), make([]time.Duration, bigZoneDaemons)
 	for _, i := range b.rng.Perm(bigZoneDaemons) {
-		if back(i) {
+		if restarts(i) {
 			b.zone.daemons[i] = b.zone.start(b.ctx, fmt.Sprint("d", i), b.rng.Uint64(), false)
 			b.startedAt[i] = time.Now()
 			time.Sleep(time.Millisecond)
@@ -128,14 +128,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		b := newMassRestart(ctx, t, 5)
 		defer b.zone.shutdown(cancel)
-		gone := -1
+		relay := -1
 		for i, d := range b.zone.daemons {
 			if d.relay.Holding() {
-				gone = i
+				relay = i
 			}
 		}
-		must.NotEq(t, -1, gone)
-		b.killAll(func(i int) bool { return i != gone })
+		must.NotEq(t, -1, relay)
+		b.killAll(func(i int) bool { return i != relay })
 		worst, never := b.measure(4 * time.Second)
 		t.Logf("the instances are known within %v", worst)
 		must.Zero(t, never)
--- a/internal/front/zone_test.go
+++ b/internal/front/zone_test.go
@@ -33,7 +33,7 @@
 	logMu sync.Mutex
 }
 
-// simBounds are the bounds of a deployment.
+// simBounds are the bounds that the daemons of a simulated zone must keep, as deployments set them.
 var simBounds = Bounds{Config: 2 * time.Second, Revoke: 5 * time.Second, StrictRevoke: true, Drain: 2 * time.Second}
 
 // newSimZone starts daemons that run until ctx ends; their random choices depend on the seed.
