--- a/internal/decisionlog/story_test.go
+++ b/internal/decisionlog/story_test.go
@@ -33,9 +33,9 @@
 
 const endedLog = `
   1.0 front-2 {"level":"info","ts":"2026-12-02T10:00:01Z","msg":"request","id":"first","status":502,"content":"c1","sends":[{"instance":"i-1"}]}
-  1.1 front-2 {"level":"info","ts":"2026-12-02T10:00:01.1Z","msg":"instance ended under requests","instance":"i-1","contents":["c1","c2"]}
-  1.2 front-2 {"level":"info","ts":"2026-12-02T10:00:01.2Z","msg":"instance ended under requests","instance":"i-2","contents":["c2"]}
-  1.3 front-3 {"level":"warn","ts":"2026-12-02T10:00:01.3Z","msg":"request refused from now on","content":"c1"}
+  1.1 front-2 {"level":"info","ts":"2026-12-02T10:00:01.1Z","msg":"instance crashed with requests in progress","instance":"i-1","contents":["c1","c2"]}
+  1.2 front-2 {"level":"info","ts":"2026-12-02T10:00:01.2Z","msg":"instance crashed with requests in progress","instance":"i-2","contents":["c2"]}
+  1.3 front-3 {"level":"warn","ts":"2026-12-02T10:00:01.3Z","msg":"request quarantined","content":"c1"}
   1.4 front-3 {"level":"info","ts":"2026-12-02T10:00:01.4Z","msg":"request","id":"neighbour","status":200,"content":"c2"}
   60.0 front-1 {"level":"info","ts":"2026-12-02T10:01:00Z","msg":"request","id":"abc","status":502,"reason":"ended_instances","content":"c1"}
 `
@@ -50,7 +50,7 @@
 	for _, l := range story {
 		texts = append(texts, l.Text)
 	}
-	must.Eq(t, []string{"request", "instance ended under requests", "request refused from now on", "request"}, texts)
+	must.Eq(t, []string{"request", "instance crashed with requests in progress", "request quarantined", "request"}, texts)
 	must.Eq(t, "first", story[0].Fields["id"])
 }
 
--- /dev/null
+++ b/internal/quarantine/detect.go
@@ -0,0 +1,287 @@
+package quarantine
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/juju/errors"
+	"go.uber.org/zap"
+
+	"pearlanding/internal/pause"
+)
+
+// ErrRefused is the cause with which sends of a quarantined content are canceled.
+const ErrRefused = errors.ConstError("quarantine: this request crashed the instances that ran it")
+
+// Parameters of the detection.
+const (
+	// clearedAfter is how long after its first event a request is no longer a suspect. The
+	// shorter, the fewer harmless requests are quarantined after crashes.
+	clearedAfter = 300 * time.Millisecond
+	// crashRetention is how long a crash is kept for sends whose connection breaks off late.
+	crashRetention = 10 * time.Second
+	// probeTimeout bounds all probes of one instance's address.
+	probeTimeout = 300 * time.Millisecond
+)
+
+// probeDelays are the waits before each probe of an address. A crashing process may close its
+// connections a moment before it stops listening.
+var probeDelays = []time.Duration{2 * time.Millisecond, 40 * time.Millisecond}
+
+// Watch detects the instance crashes that this daemon's own sends run into. A crash is an
+// address that refuses connections right after a connection to it broke off. A partitioned
+// instance or one without power answers nothing, and one that only breaks connections off or
+// corrupts answers accepts new connections; neither counts as a crash.
+type Watch struct {
+	Evidence *Evidence
+	Probe    func(ctx context.Context, address string) error // tries to connect
+	Now      func() time.Time
+	Log      *zap.Logger
+
+	crashes          atomic.Uint64 // detected by this daemon
+	mu               sync.Mutex
+	sends            map[*Send]struct{}
+	suspectedCrashes map[Life]*suspectedCrash
+}
+
+// NewWatch returns a detector that records crashes in e.
+func NewWatch(e *Evidence, probe func(ctx context.Context, address string) error, now func() time.Time, log *zap.Logger) *Watch {
+	return &Watch{Evidence: e, Probe: probe, Now: now, Log: log, sends: map[*Send]struct{}{}, suspectedCrashes: map[Life]*suspectedCrash{}}
+}
+
+// suspectedCrash is an incarnation with broken connections.
+type suspectedCrash struct {
+	at        time.Time // when the first one broke off
+	suspects  []Suspect
+	confirmed bool // the instance has crashed
+}
+
+// Send is one request in progress at an instance.
+type Send struct {
+	detector     *Watch
+	incarnation  Life
+	address      string
+	workspace    string
+	digest       func() Digest // safe for concurrent use
+	cancel       func()
+	sentAt       time.Time
+	mu           sync.Mutex
+	firstEventAt time.Time // zero: none yet
+	cleared      bool      // the answer brought events for clearedAfter
+}
+
+// Begin registers the send of a request to an instance. cancel is called if the content is
+// quarantined before the answer's first event.
+func (det *Watch) Begin(incarnation Life, address, workspace string, digest func() Digest, cancel func()) *Send {
+	s := &Send{detector: det, incarnation: incarnation, address: address, workspace: workspace, digest: digest, cancel: cancel, sentAt: det.Now()}
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	det.sends[s] = struct{}{}
+	return s
+}
+
+// Event notes an event of the answer. Events over clearedAfter count as a success of the content:
+// one that crashes instances crashes each one as soon as it starts to run there.
+func (s *Send) Event(now time.Time) {
+	s.mu.Lock()
+	if s.firstEventAt.IsZero() {
+		s.firstEventAt = now
+	}
+	cleared := !s.cleared && now.Sub(s.firstEventAt) >= clearedAfter
+	s.cleared = s.cleared || cleared
+	s.mu.Unlock()
+	if cleared {
+		s.detector.Good(s.digest)
+	}
+}
+
+// Done unregisters the send.
+func (s *Send) Done() {
+	s.detector.mu.Lock()
+	defer s.detector.mu.Unlock()
+	delete(s.detector.sends, s)
+}
+
+// Broke notes that the send's connection ended before the answer was complete. The content
+// becomes a suspect unless the answer has brought events for clearedAfter.
+func (s *Send) Broke() {
+	now := s.detector.Now()
+	s.mu.Lock()
+	cleared := !s.firstEventAt.IsZero() && now.Sub(s.firstEventAt) >= clearedAfter
+	s.mu.Unlock()
+	if !cleared {
+		s.detector.addSuspect(s, Suspect{s.digest(), s.workspace, s.sentAt}, now)
+	}
+}
+
+// Good records that a content ran without a crash. It computes no digest while there are no
+// records.
+func (det *Watch) Good(digest func() Digest) {
+	if det.Evidence.Empty() {
+		return
+	}
+	d := digest()
+	if det.Evidence.RecordSuccess(d, det.Now()) {
+		det.Log.Warn("request released from quarantine", zap.String("decision", "request succeeded"), zap.String("content", d.Short()))
+	}
+}
+
+// Refuses reports whether a request's content is quarantined and must not be sent.
+func (det *Watch) Refuses(digest func() Digest) bool {
+	return !det.Evidence.Empty() && det.Evidence.Refuses(digest())
+}
+
+// addSuspect adds a suspect to the crash of an incarnation. It starts the probe for the first
+// one, and records those that follow a confirmed crash at once.
+func (det *Watch) addSuspect(s *Send, suspect Suspect, now time.Time) {
+	det.mu.Lock()
+	crash := det.suspectedCrashes[s.incarnation]
+	first := crash == nil
+	if first {
+		crash = &suspectedCrash{at: now}
+		det.suspectedCrashes[s.incarnation] = crash
+	}
+	if !crash.confirmed {
+		crash.suspects = append(crash.suspects, suspect)
+	}
+	confirmed, at := crash.confirmed, crash.at
+	det.mu.Unlock()
+	switch {
+	case confirmed:
+		det.enforce(det.Evidence.Ended(s.incarnation, at, []Suspect{suspect}))
+	case first:
+		go det.verifyCrash(s.incarnation, s.address)
+	}
+}
+
+// verifyCrash probes an instance and, if it has crashed, records the suspects.
+func (det *Watch) verifyCrash(incarnation Life, address string) {
+	confirmed := det.refusesConnections(address)
+	det.mu.Lock()
+	crash := det.suspectedCrashes[incarnation]
+	if crash == nil || !confirmed {
+		delete(det.suspectedCrashes, incarnation)
+		det.mu.Unlock()
+		return
+	}
+	crash.confirmed = true
+	det.crashes.Add(1)
+	at, suspects := crash.at, crash.suspects
+	crash.suspects = nil
+	det.mu.Unlock()
+	det.Log.Info("instance crashed with requests in progress", zap.String("instance", incarnation.Instance), zap.Int64("born", incarnation.Born),
+		zap.Int("suspects", len(suspects)), zap.Strings("contents", shortDigests(suspects)))
+	det.enforce(det.Evidence.Ended(incarnation, at, suspects))
+}
+
+// maxLoggedContents bounds the contents listed in one log line.
+const maxLoggedContents = 32
+
+// shortDigests lists the suspects' digests for a log line.
+func shortDigests(suspects []Suspect) (out []string) {
+	for _, s := range suspects[:min(len(suspects), maxLoggedContents)] {
+		out = append(out, s.Digest.Short())
+	}
+	return out
+}
+
+// refusesConnections reports whether a probe of the address fails with ECONNREFUSED.
+func (det *Watch) refusesConnections(address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	for _, delay := range probeDelays {
+		pause.For(ctx, delay)
+		err := det.Probe(ctx, address)
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			return true
+		}
+		if err != nil {
+			return false // no answer: partitioned or without power
+		}
+	}
+	return false
+}
+
+// Ends returns the number of crashes that this daemon detected.
+func (det *Watch) Ends() uint64 { return det.crashes.Load() }
+
+// recentCrashWindow is how long a crash is reported to the daemon that plans the groups.
+const recentCrashWindow = time.Second
+
+// EndedLately lists the ids of instances whose crash this daemon detected within
+// recentCrashWindow, in order.
+func (det *Watch) EndedLately() (ids []string) {
+	now := det.Now()
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	for incarnation, crash := range det.suspectedCrashes {
+		if crash.confirmed && now.Sub(crash.at) < recentCrashWindow {
+			ids = append(ids, incarnation.Instance)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// Since calls Evidence.Since with the current time.
+func (det *Watch) Since(seq uint64, clusterWide bool) (updates []Word, upTo uint64) {
+	return det.Evidence.Since(seq, clusterWide, det.Now())
+}
+
+// Seq calls Evidence.Seq.
+func (det *Watch) Seq() (all, clusterWide uint64) { return det.Evidence.Seq() }
+
+// Merge applies another daemon's updates and enforces the quarantines that follow from them.
+func (det *Watch) Merge(updates []Word) {
+	if len(updates) > 0 {
+		det.enforce(det.Evidence.Merge(updates, det.Now()))
+	}
+}
+
+// enforce logs contents that were just quarantined and cancels their sends that have had no
+// event yet.
+func (det *Watch) enforce(digests []Digest) {
+	for _, d := range digests {
+		det.Log.Warn("request quarantined", zap.String("decision", "send_it_to_no_instance"), zap.String("content", d.Short()),
+			zap.String("digest", d.String()), zap.Object("evidence", det.Evidence.summary(d)))
+	}
+	if len(digests) == 0 {
+		return
+	}
+	for _, s := range det.sendsWithoutEvents() {
+		if slices.Contains(digests, s.digest()) {
+			s.cancel()
+		}
+	}
+}
+
+// sendsWithoutEvents lists the sends that have had no event yet.
+func (det *Watch) sendsWithoutEvents() (out []*Send) {
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	for s := range det.sends {
+		s.mu.Lock()
+		if s.firstEventAt.IsZero() {
+			out = append(out, s)
+		}
+		s.mu.Unlock()
+	}
+	return out
+}
+
+// Sweep removes expired records and crashes.
+func (det *Watch) Sweep() {
+	now := det.Now()
+	det.Evidence.Prune(now)
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	for incarnation, crash := range det.suspectedCrashes {
+		if now.Sub(crash.at) > crashRetention {
+			delete(det.suspectedCrashes, incarnation)
+		}
+	}
+}
--- /dev/null
+++ b/internal/quarantine/detect_test.go
@@ -0,0 +1,138 @@
+package quarantine
+
+import (
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/shoenig/test/must"
+	"github.com/shoenig/test/wait"
+	"go.uber.org/zap"
+)
+
+// testDetector is a detector whose clock the test moves and whose probes return probeErr.
+type testDetector struct {
+	*Watch
+	probes   atomic.Int64
+	mu       sync.Mutex
+	probeErr error
+	now      time.Time
+}
+
+func newTestDetector(probeErr error) *testDetector {
+	det := &testDetector{probeErr: probeErr, now: startTime}
+	det.Watch = NewWatch(NewEvidence(), func(context.Context, string) error {
+		det.probes.Add(1)
+		return det.probeErr
+	}, func() time.Time {
+		det.mu.Lock()
+		defer det.mu.Unlock()
+		return det.now
+	}, zap.NewNop())
+	return det
+}
+
+// advance moves the clock.
+func (det *testDetector) advance(d time.Duration) {
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	det.now = det.now.Add(d)
+}
+
+// send begins a send of a content to the n-th instance.
+func (det *testDetector) send(n int, d Digest, cancel func()) *Send {
+	return det.Begin(incarnationOf(n), "address", "w", func() Digest { return d }, cancel)
+}
+
+func (det *testDetector) suspected() int {
+	suspected, _ := det.Evidence.Counts()
+	return suspected
+}
+
+func eventually(t *testing.T, what string, f func() bool) {
+	t.Helper()
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(5*time.Second), wait.Gap(time.Millisecond)), must.Sprint(what))
+}
+
+var errConnRefused = errors.Annotate(&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}, "probe")
+
+// Guards against taking broken connections alone for a crash: on a day on which engines broke
+// off 40 of 100 answers, 1,154 sends ended as they do at a crash. An engine that accepts
+// connections still runs, and one that answers nothing may be partitioned.
+func TestOnlyConnectionRefusedIsACrash(t *testing.T) {
+	for _, probeErr := range []error{nil, context.DeadlineExceeded} {
+		det := newTestDetector(probeErr)
+		for i := range 5 {
+			s := det.send(i, poison, func() {})
+			s.Broke()
+			s.Done()
+			det.advance(time.Second)
+		}
+		eventually(t, "all instances are probed", func() bool { return det.probes.Load() >= 5 })
+		must.Zero(t, det.suspected())
+		must.Zero(t, det.Ends())
+	}
+	det := newTestDetector(errConnRefused)
+	det.send(1, poison, func() {}).Broke()
+	eventually(t, "it is suspected", func() bool { return det.suspected() == 1 })
+	must.Eq(t, 1, det.Ends())
+}
+
+// All requests that a daemon had in progress at an instance share one probe, also those whose
+// connection breaks off late. One whose answer had brought events for clearedAfter is no suspect.
+func TestRequestsAtOneCrashShareAProbe(t *testing.T) {
+	det := newTestDetector(errConnRefused)
+	cleared := det.send(1, digestOf("ran", 0), func() {})
+	cleared.Event(det.Now())
+	det.advance(clearedAfter)
+	for i := range 5 {
+		det.send(1, digestOf("other", i), func() {}).Broke()
+	}
+	cleared.Broke()
+	eventually(t, "they are suspected", func() bool { return det.suspected() == 5 })
+	det.send(1, digestOf("late", 0), func() {}).Broke()
+	eventually(t, "the late one is suspected", func() bool { return det.suspected() == 6 })
+	must.Eq(t, 1, det.probes.Load())
+}
+
+// When a content is quarantined, its sends without an event are canceled; the others continue.
+func TestQuarantineCancelsSendsWithoutEvents(t *testing.T) {
+	det := newTestDetector(errConnRefused)
+	var waiting, running, other atomic.Int64
+	for i := range 3 {
+		s := det.send(i, poison, func() {})
+		s.Broke()
+		s.Done()
+		eventually(t, "the crash is detected", func() bool { return det.Ends() == uint64(i+1) })
+		if i < 2 {
+			det.advance(time.Second)
+		}
+		if i == 1 {
+			det.send(7, poison, func() { waiting.Add(1) })
+			det.send(7, poison, func() { running.Add(1) }).Event(det.Now())
+			det.send(7, bystander, func() { other.Add(1) })
+		}
+	}
+	eventually(t, "the waiting one is canceled", func() bool { return waiting.Load() == 1 })
+	must.Zero(t, running.Load())
+	must.Zero(t, other.Load())
+	must.True(t, det.Refuses(func() Digest { return poison }))
+}
+
+// No digest is computed while there are no records.
+func TestNoDigestIsComputedBeforeACrash(t *testing.T) {
+	det := newTestDetector(nil)
+	digest := func() Digest { t.Fatal("digested"); return Digest{} }
+	s := det.Begin(incarnationOf(0), "address", "w", digest, func() {})
+	must.False(t, det.Refuses(digest))
+	s.Event(det.Now())
+	det.advance(time.Second)
+	s.Event(det.Now())
+	s.Done()
+	det.Good(digest)
+}
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -8,25 +8,26 @@
 	"github.com/juju/errors"
 )
 
-// digestBytes is the length of a digest: two of a million different requests share one with
-// a probability of 1e-27.
+// digestBytes is the length of a digest: the probability that any two of a million different
+// requests share one is 1e-27.
 const digestBytes = 16
 
-// Digest tells requests of the same content, whoever receives them. It is no secret, but
-// shows nothing of the content either.
+// Digest identifies requests with the same content on every daemon. It need not be kept
+// secret, as it reveals nothing of the content.
 type Digest [digestBytes]byte
 
-// Content is what makes two requests the same: whoever runs one runs the other.
+// Content is the part of a request that decides what an instance does with it: two requests
+// with equal contents run alike.
 type Content struct {
-	Workspace string // of the caller; empty on a public route
+	Workspace string // the caller's; empty on a public route
 	Method    string
-	Target    string // path and query as they stand in the request line
+	Target    string // path and query, unchanged from the request line
 	Model     string
 	Body      []byte
 }
 
-// Digest returns the digest of the content. Each part is hashed with its length, so that no
-// two contents run into one another.
+// Digest returns the digest of the content. The length of each part but the last is hashed
+// before it, so that bytes moved from one part to the next change the digest.
 func (c Content) Digest() Digest {
 	h := sha256.New()
 	for _, part := range []string{c.Workspace, c.Method, c.Target, c.Model} {
@@ -37,22 +38,23 @@
 	return Digest(h.Sum(nil)[:digestBytes])
 }
 
-// shortBytes of a digest are shown in log lines.
-const shortBytes = 6
+// shortDigestBytes is how many bytes of a digest log lines show.
+const shortDigestBytes = 6
 
-// Short is the beginning of the digest, for log lines.
-func (d Digest) Short() string { return hex.EncodeToString(d[:shortBytes]) }
+// Short returns the first bytes of the digest in hexadecimal, for log lines.
+func (d Digest) Short() string { return hex.EncodeToString(d[:shortDigestBytes]) }
 
-// String is the whole digest in hexadecimal.
+// String returns the whole digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. Its error is about the text's form.
+// UnmarshalText implements encoding.TextUnmarshaler. It fails if the text is not a
+// hexadecimal digest of the right length.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != digestBytes {
-		return errors.Errorf("digest of %d characters, want %d", len(text), hex.EncodedLen(digestBytes))
+		return errors.Errorf("digest has %d characters, want %d", len(text), hex.EncodedLen(digestBytes))
 	}
 	_, err := hex.Decode(d[:], text)
 	return errors.Trace(err)
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestDigestTellsContentsApart(t *testing.T) {
+func TestDigestDistinguishesContents(t *testing.T) {
 	base := Content{Workspace: "w", Method: "POST", Target: "/a?q=1", Model: "m", Body: []byte("body")}
 	seen := map[Digest]bool{base.Digest(): true}
 	for _, change := range []func(*Content){
@@ -17,7 +17,7 @@
 		func(c *Content) { c.Target = "/a?q=2" },
 		func(c *Content) { c.Model = "" },
 		func(c *Content) { c.Body = nil },
-		func(c *Content) { c.Workspace, c.Method = "wP", "OST" }, // runs together without lengths
+		func(c *Content) { c.Workspace, c.Method = "wP", "OST" }, // same bytes in a row, split differently
 	} {
 		other := base
 		change(&other)
@@ -29,15 +29,15 @@
 	must.Eq(t, base.Digest(), same.Digest())
 }
 
-func TestDigestReadsItsOwnText(t *testing.T) {
+func TestDigestTextRoundTrip(t *testing.T) {
 	d := Content{Target: "/x"}.Digest()
 	text, err := d.MarshalText()
 	must.NoError(t, err)
-	var read Digest
-	must.NoError(t, read.UnmarshalText(text))
-	must.Eq(t, d, read)
-	must.Error(t, read.UnmarshalText(text[:30]))
-	must.Error(t, read.UnmarshalText([]byte("zz"+string(text[2:]))))
+	var parsed Digest
+	must.NoError(t, parsed.UnmarshalText(text))
+	must.Eq(t, d, parsed)
+	must.Error(t, parsed.UnmarshalText(text[:30]))
+	must.Error(t, parsed.UnmarshalText([]byte("zz"+string(text[2:]))))
 }
 
 func BenchmarkDigest(b *testing.B) {
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,18 @@
-// Package quarantine finds the requests that end whichever instance runs them, and keeps
-// them from being sent on.
+// Package quarantine detects requests that crash every instance that runs them, and keeps
+// them from being sent again.
 //
-// Such a request harms nobody where it is seen once: its send breaks off, and the next one
-// looks like any repeat. So what becomes of a content is kept beyond its exchange, by digest,
-// and shared by all daemons: under which lives of instances it was in progress as they ended.
-// After three such ends it is refused, everywhere, until an operator releases it.
+// Such a request is harmless where it is seen once: its send fails, and the retry looks like
+// any other. So suspicion is kept beyond a single exchange, by the digest of the request's
+// content, and shared by all daemons: it lists the instance incarnations that crashed while
+// the content was in progress there. After three such crashes the content is quarantined on
+// all daemons until an operator releases it.
 //
-// Whatever else was in progress there shares the mark. It is told apart by what follows: a
-// good end anywhere clears what came before; an end that a refused request explains is no
-// mark against others; ends at one moment count once; a request that brought events for a
-// while before the end did not cause it.
+// Other requests that were in progress at a crash are suspects too. Four rules tell them
+// apart: a success on any instance clears earlier crashes; a crash that a quarantined content
+// explains does not count against others; simultaneous crashes count once; a request whose
+// answer had brought events for a while before the crash is no suspect.
 //
-// Evidence holds all that and decides; time is passed in. Watch gathers what this daemon
-// sees, Keeper keeps what must outlast all processes in the store.
+// Evidence holds the records and decides; its callers pass in the time. Crashes are detected
+// from this daemon's own sends (detect.go), and what must survive a restart of all daemons is
+// saved to the store (persist.go).
 package quarantine
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -11,178 +11,185 @@
 
 // Parameters of the decision.
 const (
-	// EndsToRefuse is under how many ended instances a request is refused. Two would refuse
-	// a request whose only repeat met the same one that ends instances, by chance.
-	EndsToRefuse = 3
-	// tiedEnds is the same where another request was in progress at each of the same ends:
-	// one more tells them apart.
-	tiedEnds = 4
-	// apart is how far from one another two ends lie that both count, unless the second
-	// one's send left after the first end: many instances that crash at one moment say
-	// nothing of a request that is in progress at all of them.
-	apart = 250 * time.Millisecond
-	// keptEnds bounds the ends kept of one request, the first ones. Daemons that dropped the
-	// oldest would tell them one another anew for ever, as their times differ by some ms.
-	keptEnds = 32
-	// sameTime is within what one moment may be told differently by two daemons: messages
-	// take some ms, and ages are whole milliseconds.
-	sameTime = 50 * time.Millisecond
-	// forgetAfter is how long a request that is not refused is kept after its last end.
-	forgetAfter = 10 * time.Minute
+	// CrashesToQuarantine is the number of crashes at which a content is quarantined. Two
+	// would catch a harmless request that by chance met the same culprit on its only retry.
+	CrashesToQuarantine = 3
+	// crashesWhenTied is the number if another content was in progress at each of the same
+	// crashes: one more crash tells the two apart.
+	crashesWhenTied = 4
+	// independentInterval is the least time between two crashes that both count, unless the
+	// request was sent to the second instance after the first crash. Many instances that crash
+	// at once are no evidence against a request that is in progress on all of them.
+	independentInterval = 250 * time.Millisecond
+	// maxCrashesPerContent bounds the crashes kept for one content; later ones are ignored.
+	// Daemons that evicted the oldest instead would send them to one another forever, as
+	// their times of one crash differ by some ms.
+	maxCrashesPerContent = 32
+	// timeTolerance is by how much two daemons' times of one event may differ: messages take
+	// some ms, and ages are sent in whole milliseconds.
+	timeTolerance = 50 * time.Millisecond
+	// suspicionTTL is how long a content that is not quarantined is kept after the last change
+	// of its record.
+	suspicionTTL = 10 * time.Minute
 )
 
-// Life is one life of an instance's id.
+// Life identifies one run of an instance under its id.
 type Life struct {
 	Instance string `json:"instance"`
-	Born     int64  `json:"born,omitempty"` // Unix ms; 0: not told
+	Born     int64  `json:"born,omitempty"` // Unix ms of the start; 0: unknown
 }
 
-// End is the end of an instance under a request.
-type End struct {
-	Life Life
-	At   time.Time
-	Sent time.Time // when the request was sent there
+// Crash is the crash of an instance while a content was in progress there.
+type Crash struct {
+	Incarnation Life
+	At          time.Time
+	Sent        time.Time // when the request was sent to the instance
 }
 
-// state is what decides whether a content is refused. Its counters only grow, so that
-// words of several daemons can be merged in any order.
-type state struct {
-	Refused  uint64 `json:"refused,omitempty"`  // how often it was refused
-	Released uint64 `json:"released,omitempty"` // up to which of these it was released
+// counters decide whether a content is quarantined. They only grow, so that updates of several
+// daemons can be merged in any order.
+type counters struct {
+	Quarantines uint64 `json:"refused,omitempty"`  // how often it was quarantined
+	Released    uint64 `json:"released,omitempty"` // number of the last of these quarantines that was lifted
 }
 
-// refuses tells whether the content may not be sent.
-func (s state) refuses() bool { return s.Refused > s.Released }
+// quarantined reports whether the content must not be sent.
+func (c counters) quarantined() bool { return c.Quarantines > c.Released }
 
-// merge takes in another daemon's word; true: it changed something.
-func (s *state) merge(other state) bool {
-	before := *s
-	s.Refused, s.Released = max(s.Refused, other.Refused), max(s.Released, other.Released)
-	return *s != before
+// merge takes the larger counters of both and reports whether that changed c.
+func (c *counters) merge(other counters) bool {
+	before := *c
+	c.Quarantines, c.Released = max(c.Quarantines, other.Quarantines), max(c.Released, other.Released)
+	return *c != before
 }
 
-// record is what is known of one content.
+// record is the known state of one content.
 type record struct {
-	state
-	workspace string
-	ends      []End     // oldest first
-	good      time.Time // the last good end; ends before it don't count
-	touched   time.Time
-	saved     saved  // what the store is known to hold
-	seq       uint64 // of the last change
+	counters
+	workspace   string
+	crashes     []Crash   // oldest first
+	lastSuccess time.Time // crashes up to then don't count
+	changedAt   time.Time
+	stored      storedState // what the store is known to hold
+	seq         uint64      // of its last change
 }
 
-// saved is what the store holds of a record.
-type saved struct {
-	state
-	ends int
+// storedState is what the store holds of a record; crashes is their number.
+type storedState struct {
+	counters
+	crashes int
 }
 
-// Evidence is what is known of all contents. Safe for concurrent use; time is passed in.
+// Evidence records the crashes and successes of contents and decides which contents are
+// quarantined. It is safe for concurrent use; callers pass in the time.
 type Evidence struct {
-	busy atomic.Bool // something is known: digests need to be computed
+	nonEmpty atomic.Bool // if false, no digest needs to be computed
 
-	mu      sync.Mutex
-	records map[Digest]*record
-	seq     uint64 // of the last change
-	hotSeq  uint64 // of the last change that all daemons must hear of
-	changed chan struct{}
+	mu             sync.Mutex
+	records        map[Digest]*record
+	seq            uint64 // of the last change
+	clusterWideSeq uint64 // of the last change that all daemons must receive
+	changed        chan struct{}
 }
 
-// NewEvidence returns evidence of nothing.
+// NewEvidence returns evidence without records.
 func NewEvidence() *Evidence {
 	return &Evidence{records: map[Digest]*record{}, changed: make(chan struct{}, 1)}
 }
 
-// Empty tells that nothing is known, so that no digest need be computed: a day without an
-// end costs nothing.
-func (e *Evidence) Empty() bool { return !e.busy.Load() }
+// Empty reports that there are no records. Callers then compute no digest, so that the
+// quarantine costs nothing until an instance crashes.
+func (e *Evidence) Empty() bool { return !e.nonEmpty.Load() }
 
-// Changed is signalled after a change. It has one receiver.
+// Changed is signalled after each change; signals may be merged. It serves one receiver.
 func (e *Evidence) Changed() <-chan struct{} { return e.changed }
 
-// Refuses tells whether a content may not be sent.
+// Refuses reports whether a content is quarantined and must not be sent.
 func (e *Evidence) Refuses(d Digest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.records[d]
-	return r != nil && r.refuses()
+	return r != nil && r.quarantined()
 }
 
-// Ended takes in the end of an instance under some requests, and returns those that are
-// refused from now on.
-func (e *Evidence) Ended(life Life, at time.Time, under []Suspect) []Digest {
+// Ended records that an instance crashed with suspects in progress, and returns the contents
+// that this puts into quarantine.
+func (e *Evidence) Ended(incarnation Life, at time.Time, suspects []Suspect) []Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, s := range under {
-		e.add(e.record(s.Digest, s.Workspace), End{Life: life, At: at, Sent: s.Sent}, at)
+	for _, s := range suspects {
+		e.addCrash(e.getOrCreate(s.Digest, s.Workspace), Crash{Incarnation: incarnation, At: at, Sent: s.Sent}, at)
 	}
-	return e.decide(at)
+	return e.quarantineCulprits(at)
 }
 
-// Suspect is a request that was in progress at an instance as it ended.
+// Suspect is a request that was in progress at an instance when it crashed.
 type Suspect struct {
 	Digest    Digest
 	Workspace string
 	Sent      time.Time
 }
 
-// Good takes in that a content ended well; what came before is no mark any more. true: it
-// was refused, and is not.
-func (e *Evidence) Good(d Digest, at time.Time) (released bool) {
+// RecordSuccess records that a content ran without a crash, which clears its crashes so far
+// and lifts its quarantine. It reports whether the content was quarantined.
+func (e *Evidence) RecordSuccess(d Digest, at time.Time) (released bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.records[d]
 	if r == nil {
 		return false
 	}
-	return e.clear(r, at, at)
+	return e.applySuccess(r, at, at)
 }
 
-// clear applies a good end; e.mu is held.
-func (e *Evidence) clear(r *record, good, now time.Time) (released bool) {
-	if good.Sub(r.good) <= sameTime {
+// applySuccess is RecordSuccess for a record; e.mu is held. A success within timeTolerance of
+// the last known one is the same one, received again.
+func (e *Evidence) applySuccess(r *record, success, now time.Time) (released bool) {
+	if success.Sub(r.lastSuccess) <= timeTolerance {
 		return false
 	}
-	hot := r.hot()
-	r.good = good
-	r.ends = slices.DeleteFunc(r.ends, func(end End) bool { return !end.At.After(good) })
-	if released = r.refuses(); released {
-		r.Released = r.Refused
+	wasClusterWide := r.clusterWide()
+	r.lastSuccess = success
+	r.crashes = slices.DeleteFunc(r.crashes, func(crash Crash) bool { return !crash.At.After(success) })
+	if released = r.quarantined(); released {
+		r.Released = r.Quarantines
 	}
-	e.touch(r, hot, now)
+	e.markChanged(r, wasClusterWide, now)
 	return released
 }
 
-// record returns the record of a content, made if need be; e.mu is held.
-func (e *Evidence) record(d Digest, workspace string) *record {
+// getOrCreate returns the record of a content and creates a missing one; e.mu is held.
+func (e *Evidence) getOrCreate(d Digest, workspace string) *record {
 	r := e.records[d]
 	if r == nil {
 		r = &record{workspace: workspace}
 		e.records[d] = r
-		e.busy.Store(true)
+		e.nonEmpty.Store(true)
 	}
 	return r
 }
 
-// add notes an end; e.mu is held. One that a good end followed is none.
-func (e *Evidence) add(r *record, end End, now time.Time) {
-	known := func(o End) bool { return o.Life == end.Life }
-	if !end.At.After(r.good) || len(r.ends) >= keptEnds || slices.ContainsFunc(r.ends, known) {
+// addCrash adds a crash, unless it is known already or a success followed it; e.mu is held.
+func (e *Evidence) addCrash(r *record, crash Crash, now time.Time) {
+	sameIncarnation := func(other Crash) bool { return other.Incarnation == crash.Incarnation }
+	if !crash.At.After(r.lastSuccess) || len(r.crashes) >= maxCrashesPerContent || slices.ContainsFunc(r.crashes, sameIncarnation) {
 		return
 	}
-	hot := r.hot()
-	r.ends = append(r.ends, end)
-	slices.SortFunc(r.ends, func(a, b End) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Life.Instance, b.Life.Instance)) })
-	e.touch(r, hot, now)
+	wasClusterWide := r.clusterWide()
+	r.crashes = append(r.crashes, crash)
+	slices.SortFunc(r.crashes, func(a, b Crash) int {
+		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Incarnation.Instance, b.Incarnation.Instance))
+	})
+	e.markChanged(r, wasClusterWide, now)
 }
 
-// touch notes a change of a record, which was hot before; e.mu is held.
-func (e *Evidence) touch(r *record, hot bool, now time.Time) {
+// markChanged numbers a change of a record and signals it; e.mu is held. wasClusterWide is the
+// record's clusterWide before the change.
+func (e *Evidence) markChanged(r *record, wasClusterWide bool, now time.Time) {
 	e.seq++
-	r.seq, r.touched = e.seq, now
-	if hot || r.hot() {
-		e.hotSeq = e.seq
+	r.seq, r.changedAt = e.seq, now
+	if wasClusterWide || r.clusterWide() {
+		e.clusterWideSeq = e.seq
 	}
 	select {
 	case e.changed <- struct{}{}:
@@ -190,113 +197,118 @@
 	}
 }
 
-// hot tells whether all daemons must know of a record: one more end, or a good one, may
-// decide. The others are known to the relays, which add them up.
-func (r *record) hot() bool { return len(r.ends) >= EndsToRefuse-1 || r.Refused > 0 }
+// clusterWide reports whether all daemons must know a record, as one more crash or a success
+// may decide. The other records are known to the relays only, which merge them.
+func (r *record) clusterWide() bool {
+	return len(r.crashes) >= CrashesToQuarantine-1 || r.Quarantines > 0
+}
 
-// counted returns how many ends count that nothing explains.
-func (r *record) counted(explained map[Life]bool) int {
+// countUnexplained returns the number of independent crashes at incarnations that are not
+// explained.
+func (r *record) countUnexplained(explained map[Life]bool) int {
 	n := 0
-	var last End
-	for _, end := range r.ends {
-		if explained[end.Life] {
+	var last Crash
+	for _, crash := range r.crashes {
+		if explained[crash.Incarnation] {
 			continue
 		}
-		if n == 0 || end.Sent.After(last.At) || end.At.Sub(last.At) >= apart {
-			n, last = n+1, end
+		if n == 0 || crash.Sent.After(last.At) || crash.At.Sub(last.At) >= independentInterval {
+			n, last = n+1, crash
 		}
 	}
 	return n
 }
 
-// decide refuses what explains enough ends, the most first: whatever was in progress beside
-// it is not marked by them any more. e.mu is held.
-func (e *Evidence) decide(now time.Time) (refused []Digest) {
+// quarantineCulprits quarantines the contents with enough crashes, the one with most crashes
+// first. Crashes that a quarantined content explains no longer count against the others that
+// were in progress there. e.mu is held.
+func (e *Evidence) quarantineCulprits(now time.Time) (quarantined []Digest) {
 	explained := map[Life]bool{}
 	for _, r := range e.records {
-		if r.refuses() {
-			r.explain(explained)
+		if r.quarantined() {
+			r.addIncarnations(explained)
 		}
 	}
 	for {
-		d, ok := e.worst(explained)
+		d, ok := e.strongestSuspect(explained)
 		if !ok {
-			return refused
+			return quarantined
 		}
 		r := e.records[d]
-		hot := r.hot()
-		r.Refused++
-		r.explain(explained)
-		e.touch(r, hot, now)
-		refused = append(refused, d)
+		wasClusterWide := r.clusterWide()
+		r.Quarantines++
+		r.addIncarnations(explained)
+		e.markChanged(r, wasClusterWide, now)
+		quarantined = append(quarantined, d)
 	}
 }
 
-func (r *record) explain(explained map[Life]bool) {
-	for _, end := range r.ends {
-		explained[end.Life] = true
+// addIncarnations adds the incarnations at which the content was in progress at a crash.
+func (r *record) addIncarnations(explained map[Life]bool) {
+	for _, crash := range r.crashes {
+		explained[crash.Incarnation] = true
 	}
 }
 
-// worst returns the content with the most ends that nothing explains, if it is to be
-// refused; e.mu is held.
-func (e *Evidence) worst(explained map[Life]bool) (worst Digest, found bool) {
-	most := EndsToRefuse - 1
+// strongestSuspect returns the content with the most unexplained crashes, if these are enough
+// for a quarantine; e.mu is held.
+func (e *Evidence) strongestSuspect(explained map[Life]bool) (suspect Digest, found bool) {
+	most := CrashesToQuarantine - 1
 	for d, r := range e.records {
-		if len(r.ends) < EndsToRefuse || r.refuses() {
+		if len(r.crashes) < CrashesToQuarantine || r.quarantined() {
 			continue
 		}
-		n := r.counted(explained)
-		if n < EndsToRefuse || n < tiedEnds && e.tied(d, r) {
+		n := r.countUnexplained(explained)
+		if n < CrashesToQuarantine || n < crashesWhenTied && e.tiedWithAnother(d, r) {
 			continue
 		}
-		if n > most || n == most && slices.Compare(d[:], worst[:]) < 0 {
-			worst, most, found = d, n, true
+		if n > most || n == most && slices.Compare(d[:], suspect[:]) < 0 {
+			suspect, most, found = d, n, true
 		}
 	}
-	return worst, found
+	return suspect, found
 }
 
-// tied tells whether another content that is not refused was in progress at each of a
-// record's ends; e.mu is held.
-func (e *Evidence) tied(d Digest, r *record) bool {
-	for other, o := range e.records {
-		if other == d || o.refuses() || len(o.ends) < len(r.ends) {
+// tiedWithAnother reports whether another content that is not quarantined was in progress at
+// each of a record's crashes; e.mu is held.
+func (e *Evidence) tiedWithAnother(d Digest, r *record) bool {
+	for other, otherRecord := range e.records {
+		if other == d || otherRecord.quarantined() || len(otherRecord.crashes) < len(r.crashes) {
 			continue
 		}
-		if !slices.ContainsFunc(r.ends, func(end End) bool { return !o.has(end.Life) }) {
+		if !slices.ContainsFunc(r.crashes, func(crash Crash) bool { return !otherRecord.hasCrash(crash.Incarnation) }) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *record) has(l Life) bool {
-	return slices.ContainsFunc(r.ends, func(end End) bool { return end.Life == l })
+func (r *record) hasCrash(incarnation Life) bool {
+	return slices.ContainsFunc(r.crashes, func(crash Crash) bool { return crash.Incarnation == incarnation })
 }
 
-// Counts tells how many contents are marked and how many are refused.
-func (e *Evidence) Counts() (marked, refused int) {
+// Counts returns the numbers of suspected and of quarantined contents.
+func (e *Evidence) Counts() (suspected, quarantined int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.records {
 		switch {
-		case r.refuses():
-			refused++
-		case len(r.ends) > 0:
-			marked++
+		case r.quarantined():
+			quarantined++
+		case len(r.crashes) > 0:
+			suspected++
 		}
 	}
-	return marked, refused
+	return suspected, quarantined
 }
 
-// Refused lists what is refused, in order.
-func (e *Evidence) Refused() []Digest {
+// QuarantinedDigests lists the quarantined contents, in order of digest.
+func (e *Evidence) QuarantinedDigests() []Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []Digest
 	for _, d := range slices.SortedFunc(maps.Keys(e.records), func(a, b Digest) int { return slices.Compare(a[:], b[:]) }) {
-		if e.records[d].refuses() {
+		if e.records[d].quarantined() {
 			out = append(out, d)
 		}
 	}
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -13,170 +13,171 @@
 	_ "pearlanding/internal/fixedseed"
 )
 
-var start = time.Unix(1e6, 0)
+var startTime = time.Unix(1e6, 0)
 
-// at is a moment of a test, in seconds.
-func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
+// at returns the time s seconds after the start of a test.
+func at(s float64) time.Time { return startTime.Add(time.Duration(s * float64(time.Second))) }
 
-func lifeOf(n int) Life { return Life{fmt.Sprint("i-", n), int64(n)} }
+func incarnationOf(n int) Life { return Life{fmt.Sprint("i-", n), int64(n)} }
 
-// under makes suspects that were sent a moment before an end.
-func under(end time.Time, contents ...Digest) (out []Suspect) {
+// suspectsAt returns suspects that were sent 100 ms before a crash.
+func suspectsAt(crash time.Time, contents ...Digest) (out []Suspect) {
 	for _, d := range contents {
-		out = append(out, Suspect{d, "w", end.Add(-100 * time.Millisecond)})
+		out = append(out, Suspect{d, "w", crash.Add(-100 * time.Millisecond)})
 	}
 	return out
 }
 
 var poison, bystander = digestOf("poison", 0), digestOf("bystander", 0)
 
-func TestThirdEndRefuses(t *testing.T) {
+func TestThirdCrashQuarantines(t *testing.T) {
 	e := NewEvidence()
 	must.True(t, e.Empty())
 	for i := range 3 {
 		must.False(t, e.Refuses(poison))
-		e.Ended(lifeOf(i), at(float64(i)), under(at(float64(i)), poison, digestOf("other", i)))
+		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison, digestOf("other", i)))
 	}
-	must.Eq(t, []Digest{poison}, e.Refused())
+	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 }
 
-// A domain of instances that crashes at one moment is one mark.
-func TestEndsAtOneMomentCountOnce(t *testing.T) {
+// The simultaneous crash of all instances of a failure domain counts once.
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	e := NewEvidence()
 	for i := range 9 {
-		e.Ended(lifeOf(i), at(0.01*float64(i)), under(at(0), poison))
+		e.Ended(incarnationOf(i), at(0.01*float64(i)), suspectsAt(at(0), poison))
 	}
-	must.SliceEmpty(t, e.Refused())
-	// A repeat that left after the last end counts, however soon.
-	e.Ended(lifeOf(9), at(0.12), []Suspect{{poison, "w", at(0.1)}})
-	e.Ended(lifeOf(10), at(0.14), []Suspect{{poison, "w", at(0.13)}})
-	must.Eq(t, []Digest{poison}, e.Refused())
+	must.SliceEmpty(t, e.QuarantinedDigests())
+	// A retry that was sent after the last crash counts, however soon.
+	e.Ended(incarnationOf(9), at(0.12), []Suspect{{poison, "w", at(0.1)}})
+	e.Ended(incarnationOf(10), at(0.14), []Suspect{{poison, "w", at(0.13)}})
+	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 }
 
-func TestGoodEndClearsWhatCameBefore(t *testing.T) {
+func TestSuccessClearsEarlierCrashes(t *testing.T) {
 	e := NewEvidence()
-	e.Ended(lifeOf(0), at(0), under(at(0), poison))
-	e.Ended(lifeOf(1), at(1), under(at(1), poison))
-	e.Good(poison, at(2))
-	e.Ended(lifeOf(2), at(3), under(at(3), poison))
-	e.Ended(lifeOf(3), at(4), under(at(4), poison))
-	must.SliceEmpty(t, e.Refused())
-	e.Ended(lifeOf(4), at(5), under(at(5), poison))
-	must.Eq(t, []Digest{poison}, e.Refused())
-	must.True(t, e.Good(poison, at(6)))
-	must.SliceEmpty(t, e.Refused())
+	e.Ended(incarnationOf(0), at(0), suspectsAt(at(0), poison))
+	e.Ended(incarnationOf(1), at(1), suspectsAt(at(1), poison))
+	e.RecordSuccess(poison, at(2))
+	e.Ended(incarnationOf(2), at(3), suspectsAt(at(3), poison))
+	e.Ended(incarnationOf(3), at(4), suspectsAt(at(4), poison))
+	must.SliceEmpty(t, e.QuarantinedDigests())
+	e.Ended(incarnationOf(4), at(5), suspectsAt(at(5), poison))
+	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
+	must.True(t, e.RecordSuccess(poison, at(6)))
+	must.SliceEmpty(t, e.QuarantinedDigests())
 }
 
-// Two that were in progress at the same three ends are told apart by the fourth. Whatever a
-// refused request explains is no mark on others, whenever it is heard of.
-func TestBystanderIsToldApart(t *testing.T) {
+// Two contents that were in progress at the same three crashes are told apart by the fourth. A
+// crash that a quarantined content explains does not count against others, even on a daemon
+// that learns of all of it later.
+func TestBystanderIsNotQuarantined(t *testing.T) {
 	e := NewEvidence()
 	for i := range 3 {
-		e.Ended(lifeOf(i), at(float64(i)), under(at(float64(i)), poison, bystander))
+		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison, bystander))
 	}
-	must.SliceEmpty(t, e.Refused())
-	e.Ended(lifeOf(3), at(3), under(at(3), poison))
-	must.Eq(t, []Digest{poison}, e.Refused())
-	e.Ended(lifeOf(4), at(4), under(at(4), poison, bystander))
-	must.Eq(t, []Digest{poison}, e.Refused())
+	must.SliceEmpty(t, e.QuarantinedDigests())
+	e.Ended(incarnationOf(3), at(3), suspectsAt(at(3), poison))
+	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
+	e.Ended(incarnationOf(4), at(4), suspectsAt(at(4), poison, bystander))
+	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 	late := NewEvidence()
-	words, _ := e.Since(0, false, at(5))
-	late.Merge(words, at(5))
-	must.Eq(t, []Digest{poison}, late.Refused())
+	updates, _ := e.Since(0, false, at(5))
+	late.Merge(updates, at(5))
+	must.Eq(t, []Digest{poison}, late.QuarantinedDigests())
 }
 
-// What is released is not refused again by ends of before, whoever still tells them, but by
-// three new ones.
-func TestReleasedIsRefusedAgainByNewEndsOnly(t *testing.T) {
+// A released content is not quarantined again by earlier crashes, even if a daemon that missed
+// the release still sends them, but by three new ones.
+func TestReleasedContentIsQuarantinedAgainOnlyByNewCrashes(t *testing.T) {
 	e, stale := NewEvidence(), NewEvidence()
 	for i := range 3 {
-		e.Ended(lifeOf(i), at(float64(i)), under(at(float64(i)), poison))
+		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
 	}
-	words, _ := e.Since(0, false, at(3))
-	stale.Merge(words, at(3))
-	stored := e.Store(at(3))
+	updates, _ := e.Since(0, false, at(3))
+	stale.Merge(updates, at(3))
+	stored := e.Snapshot(at(3))
 	must.True(t, stored.Release(poison, at(4)))
 	must.False(t, stored.Release(poison, at(4)))
 	must.False(t, stored.Release(bystander, at(4)))
-	e.Load(stored, at(4))
-	must.SliceEmpty(t, e.Refused())
-	words, _ = stale.Since(0, false, at(5))
-	e.Merge(words, at(5))
-	must.SliceEmpty(t, e.Refused())
-	words, _ = e.Since(0, false, at(6))
-	stale.Merge(words, at(6))
-	must.SliceEmpty(t, stale.Refused())
+	e.LoadSnapshot(stored, at(4))
+	must.SliceEmpty(t, e.QuarantinedDigests())
+	updates, _ = stale.Since(0, false, at(5))
+	e.Merge(updates, at(5))
+	must.SliceEmpty(t, e.QuarantinedDigests())
+	updates, _ = e.Since(0, false, at(6))
+	stale.Merge(updates, at(6))
+	must.SliceEmpty(t, stale.QuarantinedDigests())
 	for i := range 3 {
-		must.SliceEmpty(t, e.Refused())
-		e.Ended(lifeOf(10+i), at(float64(10+i)), under(at(float64(10+i)), poison))
+		must.SliceEmpty(t, e.QuarantinedDigests())
+		e.Ended(incarnationOf(10+i), at(float64(10+i)), suspectsAt(at(float64(10+i)), poison))
 	}
-	must.Eq(t, []Digest{poison}, e.Refused())
+	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 }
 
-// What the store holds outlasts all processes: a refusal, and two ends of three.
-func TestStoredOutlastsAllProcesses(t *testing.T) {
+// A quarantine, and two crashes of three, survive a restart of all processes in the store.
+func TestSnapshotSurvivesRestartOfAllProcesses(t *testing.T) {
 	e := NewEvidence()
 	twice := digestOf("twice", 0)
 	for i := range 3 {
-		e.Ended(lifeOf(i), at(float64(i)), under(at(float64(i)), poison))
+		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
 	}
 	for i := range 2 {
-		e.Ended(lifeOf(5+i), at(float64(5+i)), under(at(float64(5+i)), twice))
+		e.Ended(incarnationOf(5+i), at(float64(5+i)), suspectsAt(at(float64(5+i)), twice))
 	}
-	e.Ended(lifeOf(9), at(9), under(at(9), bystander))
-	must.True(t, e.Unsaved())
-	s := e.Store(at(10))
+	e.Ended(incarnationOf(9), at(9), suspectsAt(at(9), bystander))
+	must.True(t, e.HasUnsaved())
+	s := e.Snapshot(at(10))
 	must.Len(t, 2, s.Contents)
 	value, err := json.Marshal(s)
 	must.NoError(t, err)
-	e.Saved(s, at(10))
-	must.False(t, e.Unsaved())
-	read, err := ReadStored(value)
+	e.MarkSaved(s, at(10))
+	must.False(t, e.HasUnsaved())
+	parsed, err := ParseSnapshot(value)
 	must.NoError(t, err)
-	next := NewEvidence()
-	next.Load(read, at(60))
-	must.False(t, next.Unsaved())
-	must.Eq(t, []Digest{poison}, next.Refused())
-	next.Ended(lifeOf(20), at(61), under(at(61), twice))
-	must.True(t, next.Refuses(twice))
-	must.True(t, next.Unsaved())
-	_, err = ReadStored([]byte(`{"contents": 7}`))
+	restarted := NewEvidence()
+	restarted.LoadSnapshot(parsed, at(60))
+	must.False(t, restarted.HasUnsaved())
+	must.Eq(t, []Digest{poison}, restarted.QuarantinedDigests())
+	restarted.Ended(incarnationOf(20), at(61), suspectsAt(at(61), twice))
+	must.True(t, restarted.Refuses(twice))
+	must.True(t, restarted.HasUnsaved())
+	_, err = ParseSnapshot([]byte(`{"contents": 7}`))
 	must.Error(t, err)
 }
 
-// One workspace's many contents push out nobody else's.
-func TestBoundsAreFairBetweenWorkspaces(t *testing.T) {
+// One workspace's many contents do not evict those of others.
+func TestLimitsAreFairBetweenWorkspaces(t *testing.T) {
 	e := NewEvidence()
 	small := digestOf("small", 0)
-	e.Ended(lifeOf(0), at(0), []Suspect{{small, "small", at(0)}})
-	for i := range marksMost + 500 {
-		e.Ended(lifeOf(0), at(1), []Suspect{{digestOf("many", i), "large", at(0)}})
+	e.Ended(incarnationOf(0), at(0), []Suspect{{small, "small", at(0)}})
+	for i := range maxSuspected + 500 {
+		e.Ended(incarnationOf(0), at(1), []Suspect{{digestOf("many", i), "large", at(0)}})
 	}
-	e.Forget(at(2))
-	marked, refused := e.Counts()
-	must.Eq(t, marksMost, marked)
-	must.Zero(t, refused)
-	e.Ended(lifeOf(1), at(3), []Suspect{{small, "small", at(2)}})
-	e.Ended(lifeOf(2), at(4), []Suspect{{small, "small", at(4)}})
+	e.Prune(at(2))
+	suspected, quarantined := e.Counts()
+	must.Eq(t, maxSuspected, suspected)
+	must.Zero(t, quarantined)
+	e.Ended(incarnationOf(1), at(3), []Suspect{{small, "small", at(2)}})
+	e.Ended(incarnationOf(2), at(4), []Suspect{{small, "small", at(4)}})
 	must.True(t, e.Refuses(small))
-	e.Forget(at(4).Add(forgetAfter + time.Second))
-	marked, refused = e.Counts()
-	must.Zero(t, marked)
-	must.Eq(t, 1, refused) // a refusal waits for its release
+	e.Prune(at(4).Add(suspicionTTL + time.Second))
+	suspected, quarantined = e.Counts()
+	must.Zero(t, suspected)
+	must.Eq(t, 1, quarantined) // a quarantine does not expire
 	must.False(t, e.Empty())
 }
 
-// Copies of a refused content that were in progress at many instances: more ends than are
-// kept, which two daemons know in part. They stop to tell one another, and what the store holds
-// changes nothing.
-func TestManyEndsAreToldOnce(t *testing.T) {
+// Guards against two daemons that exchange the same crashes forever: a quarantined content was in
+// progress at more crashes than are kept for one, and each daemon knows a part of them. Once
+// exchanged, nothing is sent again, and the store's snapshot changes nothing.
+func TestManyCrashesAreExchangedOnce(t *testing.T) {
 	a, b := NewEvidence(), NewEvidence()
-	for i := range 3 * keptEnds {
+	for i := range 3 * maxCrashesPerContent {
 		when := at(float64(i))
 		if i > 2 {
 			when = at(10 + float64(i)/10000)
 		}
-		[]*Evidence{a, b}[i%2].Ended(lifeOf(i), when, under(when, poison))
+		[]*Evidence{a, b}[i%2].Ended(incarnationOf(i), when, suspectsAt(when, poison))
 	}
 	var seenA, seenB uint64
 	for round := range 5 {
@@ -187,20 +188,20 @@
 		a.Merge(toA, now.Add(5*time.Millisecond))
 		b.Merge(toB, now.Add(7*time.Millisecond))
 	}
-	words, _ := a.Since(seenA, false, at(1002))
-	must.SliceEmpty(t, words)
-	words, _ = b.Since(seenB, false, at(1002))
-	must.SliceEmpty(t, words)
-	seq, _ := a.Seq()
-	a.Load(b.Store(at(1002)), at(1003))
-	after, _ := a.Seq()
-	must.Eq(t, seq, after)
+	updates, _ := a.Since(seenA, false, at(1002))
+	must.SliceEmpty(t, updates)
+	updates, _ = b.Since(seenB, false, at(1002))
+	must.SliceEmpty(t, updates)
+	seqBefore, _ := a.Seq()
+	a.LoadSnapshot(b.Snapshot(at(1002)), at(1003))
+	seqAfter, _ := a.Seq()
+	must.Eq(t, seqBefore, seqAfter)
 	must.True(t, a.Refuses(poison))
 }
 
-// Whatever daemons tell one another in whatever order, once all know all they refuse the
-// same, and have nothing more to tell.
-func TestDaemonsAgreeOnceTheyToldAll(t *testing.T) {
+// In whatever order daemons exchange updates, once none has an update left for another, all
+// have quarantined the same contents.
+func TestDaemonsConvergeAfterExchangingAllUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all [3]*Evidence
 		for i := range all {
@@ -208,11 +209,11 @@
 		}
 		seen := map[[2]int]uint64{}
 		now := at(0)
-		tell := func(from, to int) bool {
-			words, upTo := all[from].Since(seen[[2]int{from, to}], false, now)
+		send := func(from, to int) bool {
+			updates, upTo := all[from].Since(seen[[2]int{from, to}], false, now)
 			seen[[2]int{from, to}] = upTo
-			all[to].Merge(words, now)
-			return len(words) > 0
+			all[to].Merge(updates, now)
+			return len(updates) > 0
 		}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -221,24 +222,24 @@
 			d := digestOf("c", rng.IntN(4))
 			switch rng.IntN(8) {
 			case 0:
-				e.Good(d, now)
+				e.RecordSuccess(d, now)
 			case 1, 2:
-				tell(rng.IntN(3), rng.IntN(3))
+				send(rng.IntN(3), rng.IntN(3))
 			default:
-				e.Ended(lifeOf(i), now, under(now, d, digestOf("c", rng.IntN(4))))
+				e.Ended(incarnationOf(i), now, suspectsAt(now, d, digestOf("c", rng.IntN(4))))
 			}
 		}
 		for range 20 {
-			news := false
+			exchanged := false
 			for i := range 9 {
-				news = tell(i/3, i%3) && i/3 != i%3 || news
+				exchanged = send(i/3, i%3) && i/3 != i%3 || exchanged
 			}
-			if !news {
-				must.Eq(t, all[0].Refused(), all[1].Refused())
-				must.Eq(t, all[0].Refused(), all[2].Refused())
+			if !exchanged {
+				must.Eq(t, all[0].QuarantinedDigests(), all[1].QuarantinedDigests())
+				must.Eq(t, all[0].QuarantinedDigests(), all[2].QuarantinedDigests())
 				return
 			}
 		}
-		t.Fatal("daemons go on telling")
+		t.Fatal("daemons keep sending updates")
 	})
 }
