--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -135,7 +135,7 @@
 
 // read takes a request's line; false: it is none, or of a request that nothing allows.
 func read(l decisionlog.Line) (request, bool) {
-	if l.Text != "request" {
+	if l.Message != "request" {
 		return request{}, false
 	}
 	q := request{status: number(l, "status"), reason: text(l, "reason"), before: number(l, "before_ms"), first: number(l, "first_ms"),
--- a/internal/account/versions.go
+++ b/internal/account/versions.go
@@ -26,7 +26,7 @@
 	found, daemons := map[uint64]*Version{}, map[uint64]map[string]bool{}
 	for _, l := range lines {
 		number, ok := l.Fields["config_version"].(float64)
-		if l.Text != "request" || !ok {
+		if l.Message != "request" || !ok {
 			continue
 		}
 		version := uint64(number)
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,5 +1,6 @@
-// Package decisionlog writes log lines without ever holding up who logs: lines
-// wait in a bounded buffer and are dropped, and counted, when it is full.
+// Package decisionlog writes log lines without ever blocking the caller: lines wait in a
+// bounded buffer, and are dropped and counted when it is full. It also reads saved logs and
+// collects the lines that explain what happened to one request.
 package decisionlog
 
 import (
@@ -12,29 +13,30 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// bufferLines is how many lines may wait for a slow reader: some seconds of a
-// busy daemon, about 1 MB.
+// bufferLines is how many lines may wait for a slow reader: about 1 MB, which a busy daemon
+// writes in some seconds.
 const bufferLines = 2048
 
 // Writer is a zapcore.WriteSyncer that never blocks.
 type Writer struct {
-	lines   chan []byte // never closed: handlers may outlive a stop's grace, and still log
-	dropped atomic.Uint64
-	ends    sync.Once
-	closing chan struct{}
-	done    chan struct{}
+	lines     chan []byte // never closed: handlers may outlive the grace period of a stop and still log
+	dropped   atomic.Uint64
+	closeOnce sync.Once
+	closing   chan struct{}
+	done      chan struct{}
 }
 
-// NewWriter starts writing to out in the background.
+// NewWriter returns a writer whose lines a background goroutine writes to out until Close.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, bufferLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// maxBatch bounds how many bytes go out in one write.
+// maxBatch is the size in bytes at which a batch of lines is written out.
 const maxBatch = 32 << 10
 
+// run writes lines until the writer is closed, then those left in the buffer.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
 	for {
@@ -50,7 +52,8 @@
 	}
 }
 
-// write writes a line, with those that wait behind it.
+// write writes a line together with those waiting in the buffer, until the batch reaches
+// maxBatch.
 func (w *Writer) write(out io.Writer, line []byte) {
 	batch := line
 	for more := true; more && len(batch) < maxBatch; {
@@ -61,10 +64,10 @@
 			more = false
 		}
 	}
-	_, _ = out.Write(batch) // there is nowhere to report a failed log write
+	_, _ = out.Write(batch) // a failed log write cannot be reported anywhere
 }
 
-// Write implements io.Writer; it always reports success.
+// Write implements io.Writer. It reports success also for a dropped line.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case <-w.closing:
@@ -80,23 +83,24 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines leave as soon as the reader takes them.
+// Sync implements zapcore.WriteSyncer. It does nothing, as lines are written out as soon as
+// the reader takes them.
 func (w *Writer) Sync() error { return nil }
 
 // Dropped returns how many lines were dropped.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, for at most the given time. What is logged afterwards is
-// dropped.
-func (w *Writer) Close(wait time.Duration) {
-	w.ends.Do(func() { close(w.closing) })
+// Close writes the lines left in the buffer and returns after at most the timeout. Lines logged
+// afterwards are dropped.
+func (w *Writer) Close(timeout time.Duration) {
+	w.closeOnce.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
-	case <-time.After(wait):
+	case <-time.After(timeout):
 	}
 }
 
-// Logger returns a JSON logger over the writer.
+// Logger returns a logger that writes JSON lines to w.
 func Logger(w *Writer, level zapcore.Level) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// A pipe that nobody reads must not hold up who logs.
-func TestUnreadPipeBlocksNobody(t *testing.T) {
+// Guards against a logging goroutine that blocks on a pipe that nobody reads.
+func TestUnreadPipeDoesNotBlock(t *testing.T) {
 	r, w, err := os.Pipe()
 	must.NoError(t, err)
 	defer r.Close()
@@ -50,12 +50,11 @@
 	out.Close(time.Second)
 }
 
-// What happened: a daemon that was stopped with requests still in progress logged them after
-// its log was closed: a race, and at worst a panic in place of an orderly end. Why: closing
-// closed the channel on which lines wait, while handlers that outlived the grace still wrote.
-// What settled it: one report of the race detector in a soak of 50 seeds (seed 5043), from
-// gateway.finish against Writer.Close.
-func TestLinesAfterTheEndAreDropped(t *testing.T) {
+// Guards against a race, and at worst a panic, between Close and handlers that outlive the grace
+// period of a stop and still log: Close used to close the channel of waiting lines. The race
+// detector reported it once in a soak of 50 seeds (seed 5043), between gateway.finish and
+// Writer.Close.
+func TestLinesAfterCloseAreDropped(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	var writers sync.WaitGroup
@@ -73,5 +72,5 @@
 	must.NoError(t, err)
 	must.Positive(t, w.Dropped())
 	must.StrNotContains(t, out.String(), "late")
-	w.Close(time.Second) // once more changes nothing
+	w.Close(time.Second) // a second Close has no effect
 }
--- a/internal/decisionlog/story.go
+++ b/internal/decisionlog/trace.go
@@ -12,20 +12,20 @@
 
 // Line is one parsed log line.
 type Line struct {
-	Source string // what stood before the JSON, or the file's name
-	Time   time.Time
-	Text   string // of the message
-	Fields map[string]any
+	Source  string // last word before the JSON, or the name of the file
+	Time    time.Time
+	Message string
+	Fields  map[string]any // all others but level, stacktrace and errorVerbose
 }
 
-// String renders the line for a reader.
+// String formats the line as text for a reader.
 func (l Line) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s: %s", l.Time.Format("15:04:05.000"), l.Source, l.Text)
+	fmt.Fprintf(&b, "%s %s: %s", l.Time.Format("15:04:05.000"), l.Source, l.Message)
 	for _, key := range sortedKeys(l.Fields) {
 		value, err := json.Marshal(l.Fields[key])
 		if err != nil {
-			continue // it came from JSON
+			continue // cannot happen: the value was decoded from JSON
 		}
 		fmt.Fprintf(&b, " %s=%s", key, value)
 	}
@@ -41,11 +41,12 @@
 	return keys
 }
 
-// maxLine bounds one line of a log file.
+// maxLine is the largest size in bytes of one line of a log file.
 const maxLine = 1 << 20
 
-// ReadLines parses a log file. Lines may have other text before the JSON, which
-// becomes their source; those without JSON are passed over.
+// ReadLines parses a log file. The last word before a line's JSON becomes its source, or else
+// the name. Lines without valid JSON or with an invalid time are skipped. It fails with the
+// errors of r, and with bufio.ErrTooLong at a line that reaches maxLine.
 func ReadLines(name string, r io.Reader) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
@@ -58,6 +59,7 @@
 	return out, scanner.Err()
 }
 
+// parse parses one line and reports whether it is a log line.
 func parse(name, text string) (Line, bool) {
 	before, _, found := strings.Cut(text, "{")
 	if !found {
@@ -76,41 +78,43 @@
 			return Line{}, false
 		}
 	}
-	l.Text, _ = l.Fields["msg"].(string)
+	l.Message, _ = l.Fields["msg"].(string)
 	for _, key := range []string{"ts", "msg", "level", "stacktrace", "errorVerbose"} {
 		delete(l.Fields, key)
 	}
 	return l, true
 }
 
-// storyWindow is how long before a request's end beliefs are told.
-const storyWindow = 10 * time.Second
+// contextWindow is how long before a request's first line a trace includes lines about the state
+// of daemons, groups and instances.
+const contextWindow = 10 * time.Second
 
-// beliefs are the messages that tell what a daemon believes from then on.
-var beliefs = map[string]bool{
+// stateMessages are the messages of lines that report a change of a daemon's known state.
+var stateMessages = map[string]bool{
 	"configuration in force": true, "store not reached": true, "store reached again": true, "instances not followed": true,
 	"lease taken": true, "lease lost": true, "lease not renewed in time": true, "lease released": true, "stopping": true, "started": true,
 	"settings reloaded": true, "machine was suspended": true,
 	"store does not answer": true, "store answers again": true, "relay lost": true, "relay used": true, "relay out of touch": true,
 }
 
-// Story tells one request in order: its own lines, and, of the daemons that
-// logged them, what they believed then and what happened to the groups and
-// instances that it was sent to. Of a request that ended instances, or shared one
-// with such, it tells what became of requests of the same content at all daemons.
+// Story returns, in order of time, the lines that explain one request: its own lines, the state
+// changes of the daemons that logged them, and on all daemons the lines about the groups and
+// instances that it was sent to. If its lines name a content, it adds all lines about this
+// content on all daemons, at any time: why a content is quarantined may lie far back. It returns
+// nil if no line has the request's id.
 func Story(lines []Line, id string) []Line {
-	var own []Line
+	var ownLines []Line
 	for _, l := range lines {
 		if l.Fields["id"] == id {
-			own = append(own, l)
+			ownLines = append(ownLines, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(ownLines) == 0 {
 		return nil
 	}
 	sources, names, contents := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	var first, last time.Time
-	for _, l := range own {
+	for _, l := range ownLines {
 		sources[l.Source] = true
 		collectNames(l, names)
 		if content, ok := l.Fields["content"].(string); ok {
@@ -125,13 +129,13 @@
 	}
 	var out []Line
 	for _, l := range lines {
-		near := !l.Time.Before(first.Add(-storyWindow)) && !l.Time.After(last)
+		near := !l.Time.Before(first.Add(-contextWindow)) && !l.Time.After(last)
 		switch {
 		case l.Fields["id"] == id:
 			out = append(out, l)
-		case tellsOf(l, contents):
+		case mentionsContent(l, contents):
 			out = append(out, l)
-		case near && sources[l.Source] && beliefs[l.Text], near && l.Text != "request" && mentions(l, names):
+		case near && sources[l.Source] && stateMessages[l.Message], near && l.Message != "request" && mentionsName(l, names):
 			out = append(out, l)
 		}
 	}
@@ -139,7 +143,7 @@
 	return out
 }
 
-// collectNames notes the instances and groups that a request was sent to.
+// collectNames adds the names of the instances and groups that a request was sent to.
 func collectNames(l Line, names map[string]bool) {
 	sends, _ := l.Fields["sends"].([]any)
 	for _, s := range sends {
@@ -152,8 +156,8 @@
 	}
 }
 
-// tellsOf tells whether a line is about one of some contents.
-func tellsOf(l Line, contents map[string]bool) bool {
+// mentionsContent reports whether a line names one of the contents.
+func mentionsContent(l Line, contents map[string]bool) bool {
 	if content, ok := l.Fields["content"].(string); ok && contents[content] {
 		return true
 	}
@@ -164,7 +168,8 @@
 	})
 }
 
-func mentions(l Line, names map[string]bool) bool {
+// mentionsName reports whether a line is about one of the named instances or groups.
+func mentionsName(l Line, names map[string]bool) bool {
 	for _, key := range []string{"instance", "group"} {
 		if name, ok := l.Fields[key].(string); ok && names[name] {
 			return true
--- a/internal/decisionlog/story_test.go
+++ b/internal/decisionlog/trace_test.go
@@ -17,21 +17,21 @@
   2.6 front-1 {"level":"info","ts":"2026-12-02T10:00:02.6Z","msg":"request","id":"other","status":200,"sends":[{"instance":"i-1"}]}
 `
 
-func TestStoryTellsARequestAndWhatWasBelieved(t *testing.T) {
+func TestTraceHasLinesOfTheRequestAndKnownState(t *testing.T) {
 	lines, err := ReadLines("log", strings.NewReader(savedLog))
 	must.NoError(t, err)
 	must.Len(t, 6, lines)
-	story := Story(lines, "abc")
-	must.Len(t, 3, story)
-	must.Eq(t, "configuration in force", story[0].Text)
-	must.Eq(t, "front-1", story[0].Source)
-	must.Eq(t, "instance taken for dead", story[1].Text)
-	must.Eq(t, "front-3", story[1].Source)
-	must.StrContains(t, story[2].String(), `status=502`)
+	trace := Story(lines, "abc")
+	must.Len(t, 3, trace)
+	must.Eq(t, "configuration in force", trace[0].Message)
+	must.Eq(t, "front-1", trace[0].Source)
+	must.Eq(t, "instance taken for dead", trace[1].Message)
+	must.Eq(t, "front-3", trace[1].Source)
+	must.StrContains(t, trace[2].String(), `status=502`)
 	must.SliceEmpty(t, Story(lines, "nobody"))
 }
 
-const endedLog = `
+const quarantineLog = `
   1.0 front-2 {"level":"info","ts":"2026-12-02T10:00:01Z","msg":"request","id":"first","status":502,"content":"c1","sends":[{"instance":"i-1"}]}
   1.1 front-2 {"level":"info","ts":"2026-12-02T10:00:01.1Z","msg":"instance crashed with requests in progress","instance":"i-1","contents":["c1","c2"]}
   1.2 front-2 {"level":"info","ts":"2026-12-02T10:00:01.2Z","msg":"instance crashed with requests in progress","instance":"i-2","contents":["c2"]}
@@ -40,18 +40,18 @@
   60.0 front-1 {"level":"info","ts":"2026-12-02T10:01:00Z","msg":"request","id":"abc","status":502,"reason":"ended_instances","content":"c1"}
 `
 
-// Why a request is refused lies in other requests of the same content, at other daemons, long
-// before it.
-func TestStoryTellsWhyAContentIsRefused(t *testing.T) {
-	lines, err := ReadLines("log", strings.NewReader(endedLog))
+// A request is quarantined because of other requests with the same content, on other daemons and
+// long before it.
+func TestTraceHasLinesOnQuarantinedContent(t *testing.T) {
+	lines, err := ReadLines("log", strings.NewReader(quarantineLog))
 	must.NoError(t, err)
-	story := Story(lines, "abc")
-	var texts []string
-	for _, l := range story {
-		texts = append(texts, l.Text)
+	trace := Story(lines, "abc")
+	var messages []string
+	for _, l := range trace {
+		messages = append(messages, l.Message)
 	}
-	must.Eq(t, []string{"request", "instance crashed with requests in progress", "request quarantined", "request"}, texts)
-	must.Eq(t, "first", story[0].Fields["id"])
+	must.Eq(t, []string{"request", "instance crashed with requests in progress", "request quarantined", "request"}, messages)
+	must.Eq(t, "first", trace[0].Fields["id"])
 }
 
 func FuzzReadLines(f *testing.F) {
