--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,6 +1,6 @@
-// Package account tells from saved request lines of all daemons what made requests late or
-// lost: by cause, by model or route, and by second. It decides
-// nothing; which cause to mend first is read off its table.
+// Package account counts, from the saved request lines of all daemons, what made requests late
+// or left them without an answer: by cause, by model or route, and by second. It only reports;
+// its table shows which cause to fix first.
 package account
 
 import (
@@ -12,206 +12,214 @@
 	"pearlanding/internal/decisionlog"
 )
 
-// Cause is what made a request late, or kept it from being answered.
+// Cause is what made a request late or left it without an answer.
 type Cause string
 
-// Causes, by what the request's line shows. A request counts for the first that applies.
+// The causes, by the fields of the request line. A request counts under the first that applies,
+// in the order of request.cause.
 const (
-	InTime      Cause = "in time"
-	NotProved   Cause = "configuration not proved" // refused: out of touch with the store
-	Starting    Cause = "daemon starting"          // refused: nothing known yet
-	Refused     Cause = "refused"                  // for another reason, before any send
-	CallerLeft  Cause = "caller left"
-	NoBudget    Cause = "repeat budget spent"
-	NoAttempts  Cause = "attempts spent"
-	Failed      Cause = "failed otherwise"
-	LateBefore  Cause = "came late already" // the caller had waited past its objective before
-	Connect     Cause = "connect"           // a connection did not come up
-	SilentFirst Cause = "silence before the first event"
-	SilentPause Cause = "silence between events"
-	Broke       Cause = "send broke off"
-	NotRun      Cause = "replica full or gone" // it said that it had not run the request
-	Queue       Cause = "first event late"     // of a single send: queue, and reading
-	Pause       Cause = "pause of its replica" // of a single send
+	InTime                  Cause = "in time"
+	ConfigurationNotProved  Cause = "configuration not proved" // rejected: the daemon had lost contact with the store
+	DaemonStarting          Cause = "daemon starting"          // rejected: the daemon had no configuration or instances yet
+	Refused                 Cause = "refused"                  // rejected for another reason, before any send
+	CallerLeft              Cause = "caller left"
+	RetryBudgetSpent        Cause = "repeat budget spent"
+	AttemptsSpent           Cause = "attempts spent"
+	FailedOtherwise         Cause = "failed otherwise"
+	LateOnArrival           Cause = "came late already" // its objective had passed before it arrived
+	ConnectFailed           Cause = "connect"           // a connection could not be opened
+	StalledBeforeFirstEvent Cause = "silence before the first event"
+	StalledBetweenEvents    Cause = "silence between events"
+	ConnectionLost          Cause = "send broke off"
+	NotExecuted             Cause = "replica full or gone" // it reported that it had not run the request
+	FirstEventLate          Cause = "first event late"     // with a single send: time in the queue and for reading the prompt
+	GapTooLong              Cause = "pause of its replica" // with a single send
 )
 
-// Row is one kind of requests and what became of them.
-type Row struct {
-	Kind   string        `json:"kind"`
+// KindSummary counts the requests of one kind by cause.
+type KindSummary struct {
+	Kind   string        `json:"kind"` // model, or route of a plain service
 	Total  int           `json:"total"`
 	Counts map[Cause]int `json:"counts"`
 }
 
-// Report is the account of all lines.
+// Report counts the requests of all lines.
 type Report struct {
-	Requests int         `json:"requests"` // lines that were sampled count for those they stand for
-	Causes   []CauseLine `json:"causes"`   // most first
-	Kinds    []Row       `json:"kinds"`    // by model, or route of a plain service
-	Seconds  []Second    `json:"seconds"`
-	Versions []Version   `json:"versions"` // of the configuration, oldest proof first
+	Requests int              `json:"requests"` // a sampled line counts for all requests that it represents
+	Causes   []CauseSummary   `json:"causes"`   // most frequent first
+	Kinds    []KindSummary    `json:"kinds"`    // most frequent first
+	Seconds  []SecondSummary  `json:"seconds"`
+	Versions []VersionSummary `json:"versions"` // of the configuration, the one with the oldest proof first
 }
 
-// CauseLine is one cause with how long its requests took.
-type CauseLine struct {
+// CauseSummary is one cause with its requests' number and median time.
+type CauseSummary struct {
 	Cause Cause `json:"cause"`
 	Count int   `json:"count"`
-	// MedianMS is the median of what spoiled the answer: the longest pause for causes
-	// between events, the first event otherwise, or the whole time of one that failed.
+	// MedianMS is the median of the time that was too long: the longest gap for causes between
+	// events, the whole time for failed requests, and the time to the first event otherwise.
 	MedianMS int `json:"median_ms"`
 }
 
-// Second counts the requests that ended in one second of the log.
-type Second struct {
+// SecondSummary counts the requests that ended in one second of the log by cause.
+type SecondSummary struct {
 	At     time.Time     `json:"at"`
 	Total  int           `json:"total"`
 	Counts map[Cause]int `json:"counts"`
 }
 
-// request is what a line tells that matters here.
+// request holds the fields of a request line that decide its cause.
 type request struct {
-	kind      string
-	status    int
-	reason    string
-	before    int // for how long the caller had waited when it came, in ms
-	first     int
-	pause     int
-	took      int
-	objective int
-	gap       int
-	ends      []string // of its sends
-	weight    int
+	kind           string
+	status         int
+	reason         string
+	waitedMS       int // how long the caller had waited before the request arrived
+	firstEventMS   int
+	longestGapMS   int
+	tookMS         int
+	objectiveMS    int
+	gapObjectiveMS int
+	sendEnds       []string // how each of its sends ended
+	weight         int
 }
 
-// Of makes the account of saved lines. Lines of other kinds, and of requests that matched no
-// route or key, are passed over.
+// Of returns the report on saved lines. It skips lines that are no request lines, and requests
+// that matched no route or key.
 func Of(lines []decisionlog.Line) Report {
-	kinds, causes, seconds := map[string]*Row{}, map[Cause][]int{}, map[int64]*Second{}
-	r := Report{Versions: versions(lines)}
+	kinds, causes, seconds := map[string]*KindSummary{}, map[Cause][]int{}, map[int64]*SecondSummary{}
+	r := Report{Versions: summarizeVersions(lines)}
 	for _, l := range lines {
-		q, ok := read(l)
+		req, ok := parseRequest(l)
 		if !ok {
 			continue
 		}
-		cause, spoiled := q.cause()
-		r.Requests += q.weight
-		for range q.weight {
-			causes[cause] = append(causes[cause], spoiled)
+		cause, tooLongMS := req.cause()
+		r.Requests += req.weight
+		for range req.weight {
+			causes[cause] = append(causes[cause], tooLongMS)
 		}
-		count(kinds, q.kind, cause, q.weight)
+		addToKind(kinds, req.kind, cause, req.weight)
 		at := l.Time.Truncate(time.Second)
 		s := seconds[at.Unix()]
 		if s == nil {
-			s = &Second{At: at, Counts: map[Cause]int{}}
+			s = &SecondSummary{At: at, Counts: map[Cause]int{}}
 			seconds[at.Unix()] = s
 		}
-		s.Total += q.weight
-		s.Counts[cause] += q.weight
+		s.Total += req.weight
+		s.Counts[cause] += req.weight
 	}
 	for cause, times := range causes {
 		slices.Sort(times)
-		r.Causes = append(r.Causes, CauseLine{cause, len(times), times[len(times)/2]})
+		r.Causes = append(r.Causes, CauseSummary{cause, len(times), times[len(times)/2]})
 	}
-	slices.SortFunc(r.Causes, func(a, b CauseLine) int { return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Cause, b.Cause)) })
+	slices.SortFunc(r.Causes, func(a, b CauseSummary) int {
+		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Cause, b.Cause))
+	})
 	for _, row := range kinds {
 		r.Kinds = append(r.Kinds, *row)
 	}
-	slices.SortFunc(r.Kinds, func(a, b Row) int { return cmp.Or(cmp.Compare(b.Total, a.Total), cmp.Compare(a.Kind, b.Kind)) })
+	slices.SortFunc(r.Kinds, func(a, b KindSummary) int { return cmp.Or(cmp.Compare(b.Total, a.Total), cmp.Compare(a.Kind, b.Kind)) })
 	for _, s := range seconds {
 		r.Seconds = append(r.Seconds, *s)
 	}
-	slices.SortFunc(r.Seconds, func(a, b Second) int { return a.At.Compare(b.At) })
+	slices.SortFunc(r.Seconds, func(a, b SecondSummary) int { return a.At.Compare(b.At) })
 	return r
 }
 
-func count(kinds map[string]*Row, kind string, cause Cause, n int) {
+// addToKind counts n requests of a kind.
+func addToKind(kinds map[string]*KindSummary, kind string, cause Cause, n int) {
 	row := kinds[kind]
 	if row == nil {
-		row = &Row{Kind: kind, Counts: map[Cause]int{}}
+		row = &KindSummary{Kind: kind, Counts: map[Cause]int{}}
 		kinds[kind] = row
 	}
 	row.Total += n
 	row.Counts[cause] += n
 }
 
-// read takes a request's line; false: it is none, or of a request that nothing allows.
-func read(l decisionlog.Line) (request, bool) {
+// parseRequest parses a request line. It returns false for another line, and for a request that
+// matched no route or key.
+func parseRequest(l decisionlog.Line) (request, bool) {
 	if l.Message != "request" {
 		return request{}, false
 	}
-	q := request{status: number(l, "status"), reason: text(l, "reason"), before: number(l, "before_ms"), first: number(l, "first_ms"),
-		pause: number(l, "max_gap_ms"), took: number(l, "took_ms"), objective: number(l, "objective_ms"), gap: number(l, "gap_ms"),
-		weight: max(number(l, "stands_for"), 1), kind: cmp.Or(text(l, "model"), text(l, "route"))}
+	req := request{status: intField(l, "status"), reason: stringField(l, "reason"), waitedMS: intField(l, "before_ms"), firstEventMS: intField(l, "first_ms"),
+		longestGapMS: intField(l, "max_gap_ms"), tookMS: intField(l, "took_ms"), objectiveMS: intField(l, "objective_ms"), gapObjectiveMS: intField(l, "gap_ms"),
+		weight: max(intField(l, "stands_for"), 1), kind: cmp.Or(stringField(l, "model"), stringField(l, "route"))}
 	sends, _ := l.Fields["sends"].([]any)
 	for _, s := range sends {
-		one, _ := s.(map[string]any)
-		end, _ := one["end"].(string)
-		q.ends = append(q.ends, end)
+		send, _ := s.(map[string]any)
+		end, _ := send["end"].(string)
+		req.sendEnds = append(req.sendEnds, end)
 	}
-	allowed := q.kind != "" && q.status != 401 && q.status != 404
-	return q, allowed
+	matched := req.kind != "" && req.status != 401 && req.status != 404
+	return req, matched
 }
 
-func number(l decisionlog.Line, name string) int {
+// intField returns a number of a line, 0 if it is missing.
+func intField(l decisionlog.Line, name string) int {
 	v, _ := l.Fields[name].(float64)
 	return int(v)
 }
 
-func text(l decisionlog.Line, name string) string {
+// stringField returns a string of a line, empty if it is missing.
+func stringField(l decisionlog.Line, name string) string {
 	v, _ := l.Fields[name].(string)
 	return v
 }
 
-// cause judges a request, and tells what spoiled it, in ms.
-func (q *request) cause() (cause Cause, spoiled int) {
-	if q.status/100 != 2 {
-		return q.failure(), q.took
+// cause returns the first cause that applies to a request, and the time in ms that was too
+// long (of an answer in time, the time to its first event).
+func (req *request) cause() (cause Cause, tooLongMS int) {
+	if req.status/100 != 2 {
+		return req.failureCause(), req.tookMS
 	}
-	lateFirst := q.objective > 0 && q.before+q.first > q.objective
-	latePause := q.gap > 0 && q.pause > q.gap
+	firstLate := req.objectiveMS > 0 && req.waitedMS+req.firstEventMS > req.objectiveMS
+	gapLate := req.gapObjectiveMS > 0 && req.longestGapMS > req.gapObjectiveMS
 	switch {
-	case !lateFirst && !latePause:
-		return InTime, q.first
-	case lateFirst && q.before > q.objective:
-		return LateBefore, q.before + q.first
-	case latePause:
-		return q.delay(Pause, SilentPause), q.pause
+	case !firstLate && !gapLate:
+		return InTime, req.firstEventMS
+	case firstLate && req.waitedMS > req.objectiveMS:
+		return LateOnArrival, req.waitedMS + req.firstEventMS
+	case gapLate:
+		return req.delayCause(GapTooLong, StalledBetweenEvents), req.longestGapMS
 	}
-	return q.delay(Queue, SilentFirst), q.first
+	return req.delayCause(FirstEventLate, StalledBeforeFirstEvent), req.firstEventMS
 }
 
-// failure is the cause of a request that was not answered.
-func (q *request) failure() Cause {
-	switch q.reason {
+// failureCause returns the cause of a request without an answer.
+func (req *request) failureCause() Cause {
+	switch req.reason {
 	case "configuration_not_proved_current", "unknown_key_in_old_configuration", "no_route_in_old_configuration":
-		return NotProved
+		return ConfigurationNotProved
 	case "no_configuration", "instances_not_known":
-		return Starting
+		return DaemonStarting
 	case "caller_left", "caller_sent_no_whole_body":
 		return CallerLeft
 	case "retry_budget_spent":
-		return NoBudget
+		return RetryBudgetSpent
 	case "attempts_spent":
-		return NoAttempts
+		return AttemptsSpent
 	}
-	if len(q.ends) == 0 {
+	if len(req.sendEnds) == 0 {
 		return Refused
 	}
-	return Failed
+	return FailedOtherwise
 }
 
-// delay is the cause of a late answer: alone if there was a single send, otherwise what ended
-// the first send.
-func (q *request) delay(alone, silent Cause) Cause {
-	if len(q.ends) < 2 {
-		return alone
+// delayCause returns the cause of a late answer: single if there was a single send, otherwise by
+// how the first send ended: stalled if its stream stalled.
+func (req *request) delayCause(single, stalled Cause) Cause {
+	if len(req.sendEnds) < 2 {
+		return single
 	}
-	switch end := q.ends[0]; {
+	switch end := req.sendEnds[0]; {
 	case strings.HasPrefix(end, "dial "):
-		return Connect
+		return ConnectFailed
 	case strings.HasPrefix(end, "refused "):
-		return NotRun
+		return NotExecuted
 	case strings.Contains(end, "stands still"):
-		return silent
+		return stalled
 	}
-	return Broke
+	return ConnectionLost
 }
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -10,9 +10,9 @@
 	"pearlanding/internal/decisionlog"
 )
 
-// Saved lines of two daemons: one in time that stands for 16, one of each of six causes, and one
-// that nothing allows.
-func TestAccountOfSavedLines(t *testing.T) {
+// The saved lines of two daemons hold one request in time that represents 16, one for each of six
+// causes, and one that matched no route or key.
+func TestReportOnSavedLines(t *testing.T) {
 	f, err := os.Open("testdata/saved.log")
 	must.NoError(t, err)
 	defer f.Close()
@@ -27,7 +27,7 @@
 	must.Eq(t, string(want), out.String())
 }
 
-func TestAccountOfNothing(t *testing.T) {
+func TestReportOnNoLines(t *testing.T) {
 	var out bytes.Buffer
 	must.NoError(t, Of(nil).Write(&out))
 	must.StrContains(t, out.String(), "0 requests")
