--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -1,6 +1,6 @@
-// Package findings collects what is wrong with a set of settings, templates and
-// workspaces, each with the place where it stands, so that a reader sees
-// everything at once instead of one fault a run.
+// Package findings collects the errors in settings and configuration files, each with its
+// location, so that a user sees all of them at once instead of one per run. It also parses and
+// checks the INI files in which they occur.
 package findings
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Finding is one fault at one place. Line is 1-based; 0 means the whole file.
+// Finding is one error at one location. Line is 1-based; 0 means the whole file.
 type Finding struct {
 	File    string `json:"file"`
 	Section string `json:"section,omitempty"`
@@ -18,7 +18,7 @@
 	Message string `json:"message"`
 }
 
-// String renders the finding as file:line: [section] key: message.
+// String formats the finding as file:line: [section] key: message.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -37,21 +37,21 @@
 
 // List is a collection of findings; the zero value is empty and usable.
 type List struct {
-	items []Finding
+	findings []Finding
 }
 
-// Add appends one finding.
-func (l *List) Add(f Finding) { l.items = append(l.items, f) }
+// Add appends a finding.
+func (l *List) Add(f Finding) { l.findings = append(l.findings, f) }
 
-// Merge appends every finding of other.
-func (l *List) Merge(other *List) { l.items = append(l.items, other.items...) }
+// Merge appends all findings of other.
+func (l *List) Merge(other *List) { l.findings = append(l.findings, other.findings...) }
 
-// Empty tells whether nothing was found.
-func (l *List) Empty() bool { return len(l.items) == 0 }
+// Empty reports whether the list has no findings.
+func (l *List) Empty() bool { return len(l.findings) == 0 }
 
-// Items returns the findings ordered by file and line.
+// Items returns the findings sorted by file and line; those of one line stay in order.
 func (l *List) Items() []Finding {
-	out := append([]Finding(nil), l.items...)
+	out := append([]Finding(nil), l.findings...)
 	sort.SliceStable(out, func(i, j int) bool {
 		if out[i].File != out[j].File {
 			return out[i].File < out[j].File
@@ -61,7 +61,7 @@
 	return out
 }
 
-// Err returns nil for an empty list, otherwise an *Error holding all findings.
+// Err returns nil for an empty list, otherwise an *Error with all findings.
 func (l *List) Err() error {
 	if l.Empty() {
 		return nil
@@ -69,7 +69,7 @@
 	return &Error{Findings: l.Items()}
 }
 
-// Error reports a non-empty list of findings; its text has a line for each.
+// Error is the error for a non-empty list of findings; its text has a line for each.
 type Error struct {
 	Findings []Finding
 }
--- a/internal/findings/ini.go
+++ b/internal/findings/ini.go
@@ -10,19 +10,19 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is one INI source under checking: the parsed form, the line of each key,
-// and the list that readers report into.
+// File is a parsed INI file whose checks add their findings to List.
 type File struct {
 	Name  string
 	INI   *ini.File
-	lines map[place]int
+	lines map[location]int // first line of each section and key
 	List  *List
 }
 
-type place struct{ section, key string }
+// location is a key of a section; an empty key is the section header.
+type location struct{ section, key string }
 
-// Parse reads data as INI. It returns nil after adding a finding when the text
-// can't be parsed at all.
+// Parse parses data as INI and adds a finding for each duplicate section or key. It returns nil
+// after adding a finding if the text cannot be parsed at all.
 func Parse(name string, data []byte, list *List) *File {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true, AllowBooleanKeys: false}, data)
 	if err != nil {
@@ -34,19 +34,19 @@
 	return file
 }
 
-// lineIndex finds the line of every section header and key.
-func lineIndex(data []byte) map[place]int {
-	index := map[place]int{}
-	eachKey(data, func(p place, line int) {
-		if _, seen := index[p]; !seen {
-			index[p] = line
+// lineIndex returns the first line of every section header and key.
+func lineIndex(data []byte) map[location]int {
+	index := map[location]int{}
+	eachKey(data, func(at location, line int) {
+		if _, seen := index[at]; !seen {
+			index[at] = line
 		}
 	})
 	return index
 }
 
 // eachKey calls visit for each section header (with an empty key) and each key.
-func eachKey(data []byte, visit func(place, int)) {
+func eachKey(data []byte, visit func(location, int)) {
 	section := ""
 	scanner := bufio.NewScanner(bytes.NewReader(data))
 	for line := 1; scanner.Scan(); line++ {
@@ -55,92 +55,93 @@
 		case text == "" || text[0] == '#' || text[0] == ';':
 		case text[0] == '[' && strings.HasSuffix(text, "]"):
 			section = strings.TrimSpace(text[1 : len(text)-1])
-			visit(place{section, ""}, line)
+			visit(location{section, ""}, line)
 		default:
 			if key, _, ok := strings.Cut(text, "="); ok {
-				visit(place{section, strings.TrimSpace(key)}, line)
+				visit(location{section, strings.TrimSpace(key)}, line)
 			}
 		}
 	}
 }
 
-// reportDuplicates adds a finding for each section or key that stands twice;
-// the INI library would silently keep the last one.
+// reportDuplicates adds a finding for each duplicate section or key; the INI library would
+// silently keep the last one.
 func (f *File) reportDuplicates(data []byte) {
-	first := map[place]int{}
-	eachKey(data, func(p place, line int) {
-		if before, seen := first[p]; seen {
-			f.List.Add(Finding{File: f.Name, Section: p.section, Key: p.key, Line: line,
-				Message: fmt.Sprintf("stands twice, first in line %d", before)})
+	first := map[location]int{}
+	eachKey(data, func(at location, line int) {
+		if firstLine, seen := first[at]; seen {
+			f.List.Add(Finding{File: f.Name, Section: at.section, Key: at.key, Line: line,
+				Message: fmt.Sprintf("stands twice, first in line %d", firstLine)})
 			return
 		}
-		first[p] = line
+		first[at] = line
 	})
 }
 
-// Add reports a fault at a section and key of this file.
+// Add adds a finding at a key of a section, or at the section header if the file lacks the key.
 func (f *File) Add(section, key, format string, args ...any) {
-	line := f.lines[place{section, key}]
+	line := f.lines[location{section, key}]
 	if line == 0 {
-		line = f.lines[place{section, ""}]
+		line = f.lines[location{section, ""}]
 	}
 	f.List.Add(Finding{File: f.Name, Section: section, Key: key, Line: line, Message: fmt.Sprintf(format, args...)})
 }
 
-// Section is a reader over one INI section that notes which keys it knows, so
-// that Done can report the unknown ones.
+// Section reads the keys of one INI section. It remembers which keys were read, to report the
+// others as unknown.
 type Section struct {
-	file  *File
-	name  string
-	sec   *ini.Section
-	known map[string]bool
+	file      *File
+	name      string
+	ini       *ini.Section
+	knownKeys map[string]bool
 }
 
-// Section returns a reader for the named section; a missing one reads as empty.
+// Section returns the named section; a missing one reads as empty.
 func (f *File) Section(name string) *Section {
 	sec, err := f.INI.GetSection(name)
 	if err != nil {
 		sec = nil
 	}
-	return &Section{file: f, name: name, sec: sec, known: map[string]bool{}}
+	return &Section{file: f, name: name, ini: sec, knownKeys: map[string]bool{}}
 }
 
-// Present tells whether the section stands in the file.
-func (s *Section) Present() bool { return s.sec != nil }
+// Present reports whether the file has the section.
+func (s *Section) Present() bool { return s.ini != nil }
 
-func (s *Section) raw(key string) (string, bool) {
-	s.known[key] = true
-	if s.sec == nil || !s.sec.HasKey(key) {
+// lookup returns the trimmed value of a key and whether it is set, and marks the key as known.
+func (s *Section) lookup(key string) (string, bool) {
+	s.knownKeys[key] = true
+	if s.ini == nil || !s.ini.HasKey(key) {
 		return "", false
 	}
-	return strings.TrimSpace(s.sec.Key(key).String()), true
+	return strings.TrimSpace(s.ini.Key(key).String()), true
 }
 
-// Fault reports a fault at a key of this section.
+// Fault adds a finding at a key of this section.
 func (s *Section) Fault(key, format string, args ...any) { s.file.Add(s.name, key, format, args...) }
 
-// String reads a text key; missing gives def.
+// String reads a text key; it returns def if the key is missing.
 func (s *Section) String(key, def string) string {
-	if v, ok := s.raw(key); ok {
-		return v
+	if value, ok := s.lookup(key); ok {
+		return value
 	}
 	return def
 }
 
-// Required reads a text key that must be present and not empty.
+// Required reads a text key; a missing or empty one is a finding.
 func (s *Section) Required(key string) string {
-	v, ok := s.raw(key)
-	if !ok || v == "" {
+	value, ok := s.lookup(key)
+	if !ok || value == "" {
 		s.Fault(key, "is required")
 	}
-	return v
+	return value
 }
 
-// Strings reads a comma-separated key; empty items are dropped.
+// Strings reads a comma-separated list; empty items are dropped.
 func (s *Section) Strings(key string) []string {
-	v, _ := s.raw(key)
+	value, _ := s.lookup(key)
 	var out []string
-	for _, item := range strings.Split(v, ",") {
+	for _, item := range strings.Split(value, ",") {
 		if item = strings.TrimSpace(item); item != "" {
 			out = append(out, item)
 		}
@@ -148,15 +149,16 @@
 	return out
 }
 
-// Int reads a whole number within [low, high].
+// Int reads a whole number within [low, high]. It returns def if the key is missing, and def with
+// a finding if the value is invalid. So do the readers below.
 func (s *Section) Int(key string, def, low, high int) int {
-	v, ok := s.raw(key)
+	value, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
-	n, err := s.sec.Key(key).Int()
+	n, err := s.ini.Key(key).Int()
 	if err != nil || n < low || n > high {
-		s.Fault(key, "%q is not a whole number from %d to %d", v, low, high)
+		s.Fault(key, "%q is not a whole number from %d to %d", value, low, high)
 		return def
 	}
 	return n
@@ -164,75 +166,75 @@
 
 // Float reads a number within [low, high].
 func (s *Section) Float(key string, def, low, high float64) float64 {
-	v, ok := s.raw(key)
+	value, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
-	n, err := s.sec.Key(key).Float64()
+	n, err := s.ini.Key(key).Float64()
 	if err != nil || n < low || n > high {
-		s.Fault(key, "%q is not a number from %g to %g", v, low, high)
+		s.Fault(key, "%q is not a number from %g to %g", value, low, high)
 		return def
 	}
 	return n
 }
 
-// Duration reads a time with its unit (for example 1500ms) within [low, high].
+// Duration reads a duration with a unit (for example 1500ms) within [low, high].
 func (s *Section) Duration(key string, def, low, high time.Duration) time.Duration {
-	v, ok := s.raw(key)
+	value, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
-	d, err := time.ParseDuration(v)
+	d, err := time.ParseDuration(value)
 	if err != nil || d < low || d > high {
-		s.Fault(key, "%q is not a duration from %s to %s", v, low, high)
+		s.Fault(key, "%q is not a duration from %s to %s", value, low, high)
 		return def
 	}
 	return d
 }
 
-// Bool reads true or false.
+// Bool reads a boolean.
 func (s *Section) Bool(key string, def bool) bool {
-	v, ok := s.raw(key)
+	value, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
-	b, err := s.sec.Key(key).Bool()
+	b, err := s.ini.Key(key).Bool()
 	if err != nil {
-		s.Fault(key, "%q is neither true nor false", v)
+		s.Fault(key, "%q is neither true nor false", value)
 		return def
 	}
 	return b
 }
 
-// OneOf reads a key that must be one of the choices.
+// OneOf reads a value that must be one of the choices.
 func (s *Section) OneOf(key, def string, choices ...string) string {
-	v, ok := s.raw(key)
+	value, ok := s.lookup(key)
 	if !ok {
 		return def
 	}
 	for _, c := range choices {
-		if v == c {
-			return v
+		if value == c {
+			return value
 		}
 	}
-	s.Fault(key, "%q is none of %s", v, strings.Join(choices, ", "))
+	s.Fault(key, "%q is none of %s", value, strings.Join(choices, ", "))
 	return def
 }
 
-// Done reports each key of the section that no reader asked for.
+// Done adds a finding for each key of the section that was not read.
 func (s *Section) Done() {
-	if s.sec == nil {
+	if s.ini == nil {
 		return
 	}
-	for _, key := range s.sec.KeyStrings() {
-		if !s.known[key] {
+	for _, key := range s.ini.KeyStrings() {
+		if !s.knownKeys[key] {
 			s.Fault(key, "unknown key")
 		}
 	}
 }
 
-// HasSection tells whether INI text has a section of that name.
+// HasSection reports whether INI text has a section of that name.
 func HasSection(data []byte, name string) bool {
-	_, ok := lineIndex(data)[place{name, ""}]
+	_, ok := lineIndex(data)[location{name, ""}]
 	return ok
 }
