--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds a daemon's metrics: histograms per workspace and class,
-// refusals by code, upstream attempts, and gauges of the control state.
+// Package telemetry holds a daemon's metrics: latency histograms per workspace and class, refusals
+// by code, counters of upstream attempts, and gauges that other packages register.
 package telemetry
 
 import (
@@ -16,19 +16,19 @@
 	"pearlanding/internal/problem"
 )
 
-// Telemetry is one daemon's set of metrics. Safe for concurrent use.
+// Telemetry is one daemon's set of metrics. It is safe for concurrent use.
 type Telemetry struct {
 	Set        *metrics.Set
-	workspaces sync.Map // workspaceKey -> *Workspace
-	refusals   sync.Map // refusalKey -> *metrics.Counter
+	histograms sync.Map // *Workspace by histogramsKey
+	refusals   sync.Map // *metrics.Counter by refusalKey
 	Attempts   *metrics.Counter
 	Retries    *metrics.Counter
-	Resumes    *metrics.Counter
-	Crossed    *metrics.Counter
-	TokensOut  *metrics.Counter
+	Resumes    *metrics.Counter // resumed streams; not counted yet
+	Crossed    *metrics.Counter // answers that belong to another request
+	TokensOut  *metrics.Counter // chunks of streams delivered to callers
 }
 
-type workspaceKey struct {
+type histogramsKey struct {
 	name  string
 	class catalog.Class
 }
@@ -38,15 +38,16 @@
 	code      problem.Code
 }
 
-// Workspace holds the histograms of one workspace and class, all in seconds.
+// Workspace holds the latency histograms of one workspace and class, in seconds. All but
+// BetweenTokens count from the arrival of the request.
 type Workspace struct {
 	Answer        *metrics.Histogram
 	FirstToken    *metrics.Histogram
 	BetweenTokens *metrics.Histogram
-	BeforeSend    *metrics.Histogram // admission, claim and routing
+	BeforeSend    *metrics.Histogram // until admission, claim and routing are done
 }
 
-// New returns an empty set.
+// New returns a set with all counters at zero.
 func New() *Telemetry {
 	set := metrics.NewSet()
 	return &Telemetry{
@@ -59,50 +60,53 @@
 	}
 }
 
-// Workspace returns the histograms of a workspace.
+// Workspace returns the histograms of a workspace and class, created on first use.
 func (t *Telemetry) Workspace(name string, class catalog.Class) *Workspace {
-	key := workspaceKey{name, class}
-	if w, ok := t.workspaces.Load(key); ok {
-		return w.(*Workspace)
+	key := histogramsKey{name, class}
+	if existing, ok := t.histograms.Load(key); ok {
+		return existing.(*Workspace)
 	}
-	h := func(metric string) *metrics.Histogram {
+	histogram := func(metric string) *metrics.Histogram {
 		return t.Set.GetOrCreateHistogram(fmt.Sprintf("pearlanding_%s_seconds{workspace=%q,class=%q}", metric, name, class))
 	}
-	w := &Workspace{Answer: h("answer"), FirstToken: h("first_token"), BetweenTokens: h("between_tokens"), BeforeSend: h("before_send")}
-	actual, _ := t.workspaces.LoadOrStore(key, w)
+	created := &Workspace{Answer: histogram("answer"), FirstToken: histogram("first_token"), BetweenTokens: histogram("between_tokens"), BeforeSend: histogram("before_send")}
+	actual, _ := t.histograms.LoadOrStore(key, created)
 	return actual.(*Workspace)
 }
 
-// Refused counts one refusal.
+// Refused counts one request refused with a problem.
 func (t *Telemetry) Refused(workspace string, p *problem.Problem) {
 	key := refusalKey{workspace, p.Code}
-	c, ok := t.refusals.Load(key)
+	counter, ok := t.refusals.Load(key)
 	if !ok {
 		name := fmt.Sprintf("pearlanding_refusals_total{workspace=%q,code=%q,outcome=%q}", workspace, p.Code, p.Outcome)
-		c, _ = t.refusals.LoadOrStore(key, t.Set.GetOrCreateCounter(name))
+		counter, _ = t.refusals.LoadOrStore(key, t.Set.GetOrCreateCounter(name))
 	}
-	c.(*metrics.Counter).Inc()
+	counter.(*metrics.Counter).Inc()
 }
 
-// Gauge registers a gauge that is read when the metrics are.
+// Gauge registers a gauge whose value read returns whenever the metrics are written.
 func (t *Telemetry) Gauge(name string, read func() float64) { t.Set.GetOrCreateGauge(name, read) }
 
-// Write renders all metrics, those of the process included.
+// Write writes all metrics in the Prometheus text format, those of the process included.
 func (t *Telemetry) Write(w io.Writer) {
 	t.Set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// Since notes the seconds from start on a histogram.
-func Since(h *metrics.Histogram, start time.Time) { h.Update(time.Since(start).Seconds()) }
+// Since records the seconds since start in a histogram.
+func Since(histogram *metrics.Histogram, start time.Time) {
+	histogram.Update(time.Since(start).Seconds())
+}
 
-// Logger returns a JSON logger at the level (debug, info, warn, error).
+// Logger returns a logger that writes JSON lines from a level up (debug, info, warn, error). It
+// fails if the level is unknown.
 func Logger(level string, out zapcore.WriteSyncer) (*zap.Logger, error) {
-	parsed, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(cfg), out, parsed)), nil
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(cfg), out, minLevel)), nil
 }
