--- a/internal/quarantine/detect.go
+++ b/internal/quarantine/detect.go
@@ -19,8 +19,8 @@
 
 // Parameters of the detection.
 const (
-	// clearedAfter is how long after its first event a request is no longer a suspect. The
-	// shorter, the fewer harmless requests are quarantined after crashes.
+	// clearedAfter is the time after the first event of its answer from which a request is no
+	// suspect. The shorter it is, the fewer harmless requests are quarantined after crashes.
 	clearedAfter = 300 * time.Millisecond
 	// crashRetention is how long a crash is kept for sends whose connection breaks off late.
 	crashRetention = 10 * time.Second
@@ -55,7 +55,7 @@
 
 // suspectedCrash is an incarnation with broken connections.
 type suspectedCrash struct {
-	at        time.Time // when the first one broke off
+	at        time.Time // when the first connection broke off
 	suspects  []Suspect
 	confirmed bool // the instance has crashed
 }
@@ -70,7 +70,7 @@
 	cancel       func()
 	sentAt       time.Time
 	mu           sync.Mutex
-	firstEventAt time.Time // zero: none yet
+	firstEventAt time.Time // zero: no event yet
 	cleared      bool      // the answer brought events for clearedAfter
 }
 
@@ -84,8 +84,9 @@
 	return s
 }
 
-// Event notes an event of the answer. Events over clearedAfter count as a success of the content:
-// one that crashes instances crashes each one as soon as it starts to run there.
+// Event notes an event of the answer. An event that comes clearedAfter or more after the first
+// counts as a success of the content, as a content that crashes instances crashes each of them
+// as soon as it starts to run there.
 func (s *Send) Event(now time.Time) {
 	s.mu.Lock()
 	if s.firstEventAt.IsZero() {
@@ -126,7 +127,7 @@
 	}
 	d := digest()
 	if det.Evidence.RecordSuccess(d, det.Now()) {
-		det.Log.Warn("request released from quarantine", zap.String("decision", "request succeeded"), zap.String("content", d.Short()))
+		det.Log.Warn("request released from quarantine", zap.String("decision", "it ended well"), zap.String("content", d.Short()))
 	}
 }
 
@@ -135,8 +136,8 @@
 	return !det.Evidence.Empty() && det.Evidence.Refuses(digest())
 }
 
-// addSuspect adds a suspect to the crash of an incarnation. It starts the probe for the first
-// one, and records those that follow a confirmed crash at once.
+// addSuspect adds a suspect to the suspected crash of an incarnation. The first suspect starts
+// the probe; one that comes after the crash was confirmed is recorded at once.
 func (det *Watch) addSuspect(s *Send, suspect Suspect, now time.Time) {
 	det.mu.Lock()
 	crash := det.suspectedCrashes[s.incarnation]
@@ -158,7 +159,8 @@
 	}
 }
 
-// verifyCrash probes an instance and, if it has crashed, records the suspects.
+// verifyCrash probes an instance. If the instance has crashed it records the crash with its
+// suspects, otherwise it drops them.
 func (det *Watch) verifyCrash(incarnation Life, address string) {
 	confirmed := det.refusesConnections(address)
 	det.mu.Lock()
@@ -189,7 +191,8 @@
 	return out
 }
 
-// refusesConnections reports whether a probe of the address fails with ECONNREFUSED.
+// refusesConnections reports whether a probe of the address fails with ECONNREFUSED. Another
+// failure ends the probing, a success is followed by the next probe.
 func (det *Watch) refusesConnections(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -227,9 +230,9 @@
 	return ids
 }
 
-// Since calls Evidence.Since with the current time.
+// Since calls Evidence.UpdatesSince with the current time.
 func (det *Watch) Since(seq uint64, clusterWide bool) (updates []Word, upTo uint64) {
-	return det.Evidence.Since(seq, clusterWide, det.Now())
+	return det.Evidence.UpdatesSince(seq, clusterWide, det.Now())
 }
 
 // Seq calls Evidence.Seq.
--- a/internal/quarantine/detect_test.go
+++ b/internal/quarantine/detect_test.go
@@ -61,9 +61,9 @@
 
 var errConnRefused = errors.Annotate(&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}, "probe")
 
-// Guards against taking broken connections alone for a crash: on a day on which engines broke
-// off 40 of 100 answers, 1,154 sends ended as they do at a crash. An engine that accepts
-// connections still runs, and one that answers nothing may be partitioned.
+// Guards against taking a broken connection alone for a crash: on a day on which engines broke
+// off 40 of 100 answers, 1,154 sends ended as they do at a crash. An engine that still accepts
+// connections has not crashed, and one that does not answer may be partitioned.
 func TestOnlyConnectionRefusedIsACrash(t *testing.T) {
 	for _, probeErr := range []error{nil, context.DeadlineExceeded} {
 		det := newTestDetector(probeErr)
@@ -79,7 +79,7 @@
 	}
 	det := newTestDetector(errConnRefused)
 	det.send(1, poison, func() {}).Broke()
-	eventually(t, "it is suspected", func() bool { return det.suspected() == 1 })
+	eventually(t, "the request is suspected", func() bool { return det.suspected() == 1 })
 	must.Eq(t, 1, det.Ends())
 }
 
@@ -94,9 +94,9 @@
 		det.send(1, digestOf("other", i), func() {}).Broke()
 	}
 	cleared.Broke()
-	eventually(t, "they are suspected", func() bool { return det.suspected() == 5 })
+	eventually(t, "the five requests are suspected", func() bool { return det.suspected() == 5 })
 	det.send(1, digestOf("late", 0), func() {}).Broke()
-	eventually(t, "the late one is suspected", func() bool { return det.suspected() == 6 })
+	eventually(t, "the late request is suspected", func() bool { return det.suspected() == 6 })
 	must.Eq(t, 1, det.probes.Load())
 }
 
@@ -118,7 +118,7 @@
 			det.send(7, bystander, func() { other.Add(1) })
 		}
 	}
-	eventually(t, "the waiting one is canceled", func() bool { return waiting.Load() == 1 })
+	eventually(t, "the send without an event is canceled", func() bool { return waiting.Load() == 1 })
 	must.Zero(t, running.Load())
 	must.Zero(t, other.Load())
 	must.True(t, det.Refuses(func() Digest { return poison }))
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -12,8 +12,8 @@
 // requests share one is 1e-27.
 const digestBytes = 16
 
-// Digest identifies requests with the same content on every daemon. It need not be kept
-// secret, as it reveals nothing of the content.
+// Digest identifies a content: requests with the same content have the same digest on every
+// daemon. It need not be kept secret, as it reveals nothing of the content.
 type Digest [digestBytes]byte
 
 // Content is the part of a request that decides what an instance does with it: two requests
@@ -27,7 +27,7 @@
 }
 
 // Digest returns the digest of the content. The length of each part but the last is hashed
-// before it, so that bytes moved from one part to the next change the digest.
+// before it, so that contents whose bytes are split differently have different digests.
 func (c Content) Digest() Digest {
 	h := sha256.New()
 	for _, part := range []string{c.Workspace, c.Method, c.Target, c.Model} {
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -14,8 +14,8 @@
 	// CrashesToQuarantine is the number of crashes at which a content is quarantined. Two
 	// would catch a harmless request that by chance met the same culprit on its only retry.
 	CrashesToQuarantine = 3
-	// crashesWhenTied is the number if another content was in progress at each of the same
-	// crashes: one more crash tells the two apart.
+	// crashesWhenTied replaces CrashesToQuarantine if another content was in progress at each of
+	// the same crashes: one more crash tells the two apart.
 	crashesWhenTied = 4
 	// independentInterval is the least time between two crashes that both count, unless the
 	// request was sent to the second instance after the first crash. Many instances that crash
@@ -25,7 +25,7 @@
 	// Daemons that evicted the oldest instead would send them to one another forever, as
 	// their times of one crash differ by some ms.
 	maxCrashesPerContent = 32
-	// timeTolerance is by how much two daemons' times of one event may differ: messages take
+	// timeTolerance is how far two daemons' times of the same event may differ: messages take
 	// some ms, and ages are sent in whole milliseconds.
 	timeTolerance = 50 * time.Millisecond
 	// suspicionTTL is how long a content that is not quarantined is kept after the last change
@@ -68,16 +68,16 @@
 	counters
 	workspace   string
 	crashes     []Crash   // oldest first
-	lastSuccess time.Time // crashes up to then don't count
+	lastSuccess time.Time // crashes up to this time don't count
 	changedAt   time.Time
 	stored      storedState // what the store is known to hold
-	seq         uint64      // of its last change
+	seq         uint64      // sequence number of the record's last change
 }
 
-// storedState is what the store holds of a record; crashes is their number.
+// storedState is what the store holds of a record.
 type storedState struct {
 	counters
-	crashes int
+	crashes int // number of crashes
 }
 
 // Evidence records the crashes and successes of contents and decides which contents are
@@ -87,8 +87,8 @@
 
 	mu             sync.Mutex
 	records        map[Digest]*record
-	seq            uint64 // of the last change
-	clusterWideSeq uint64 // of the last change that all daemons must receive
+	seq            uint64 // sequence number of the last change
+	clusterWideSeq uint64 // sequence number of the last change that all daemons must receive
 	changed        chan struct{}
 }
 
@@ -97,7 +97,7 @@
 	return &Evidence{records: map[Digest]*record{}, changed: make(chan struct{}, 1)}
 }
 
-// Empty reports that there are no records. Callers then compute no digest, so that the
+// Empty reports whether there are no records. Callers then compute no digest, so that the
 // quarantine costs nothing until an instance crashes.
 func (e *Evidence) Empty() bool { return !e.nonEmpty.Load() }
 
@@ -127,7 +127,7 @@
 type Suspect struct {
 	Digest    Digest
 	Workspace string
-	Sent      time.Time
+	Sent      time.Time // when the request was sent to the instance
 }
 
 // RecordSuccess records that a content ran without a crash, which clears its crashes so far
@@ -197,8 +197,9 @@
 	}
 }
 
-// clusterWide reports whether all daemons must know a record, as one more crash or a success
-// may decide. The other records are known to the relays only, which merge them.
+// clusterWide reports whether all daemons must know a record, as one more crash may put its
+// content into quarantine or a success may release it. Other records are sent only to the
+// relays, which merge them.
 func (r *record) clusterWide() bool {
 	return len(r.crashes) >= CrashesToQuarantine-1 || r.Quarantines > 0
 }
@@ -219,8 +220,8 @@
 	return n
 }
 
-// quarantineCulprits quarantines the contents with enough crashes, the one with most crashes
-// first. Crashes that a quarantined content explains no longer count against the others that
+// quarantineCulprits quarantines the contents with enough crashes, starting with the one that
+// has the most. Crashes that a quarantined content explains no longer count against the others that
 // were in progress there. e.mu is held.
 func (e *Evidence) quarantineCulprits(now time.Time) (quarantined []Digest) {
 	explained := map[Life]bool{}
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -81,7 +81,7 @@
 	e.Ended(incarnationOf(4), at(4), suspectsAt(at(4), poison, bystander))
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 	late := NewEvidence()
-	updates, _ := e.Since(0, false, at(5))
+	updates, _ := e.UpdatesSince(0, false, at(5))
 	late.Merge(updates, at(5))
 	must.Eq(t, []Digest{poison}, late.QuarantinedDigests())
 }
@@ -93,7 +93,7 @@
 	for i := range 3 {
 		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
 	}
-	updates, _ := e.Since(0, false, at(3))
+	updates, _ := e.UpdatesSince(0, false, at(3))
 	stale.Merge(updates, at(3))
 	stored := e.Snapshot(at(3))
 	must.True(t, stored.Release(poison, at(4)))
@@ -101,10 +101,10 @@
 	must.False(t, stored.Release(bystander, at(4)))
 	e.LoadSnapshot(stored, at(4))
 	must.SliceEmpty(t, e.QuarantinedDigests())
-	updates, _ = stale.Since(0, false, at(5))
+	updates, _ = stale.UpdatesSince(0, false, at(5))
 	e.Merge(updates, at(5))
 	must.SliceEmpty(t, e.QuarantinedDigests())
-	updates, _ = e.Since(0, false, at(6))
+	updates, _ = e.UpdatesSince(0, false, at(6))
 	stale.Merge(updates, at(6))
 	must.SliceEmpty(t, stale.QuarantinedDigests())
 	for i := range 3 {
@@ -167,8 +167,8 @@
 	must.False(t, e.Empty())
 }
 
-// Guards against two daemons that exchange the same crashes forever: a quarantined content was in
-// progress at more crashes than are kept for one, and each daemon knows a part of them. Once
+// Guards against two daemons that send each other the same crashes forever. A quarantined content
+// was in progress at more crashes than are kept for a content, and each daemon knows a part of them. Once
 // exchanged, nothing is sent again, and the store's snapshot changes nothing.
 func TestManyCrashesAreExchangedOnce(t *testing.T) {
 	a, b := NewEvidence(), NewEvidence()
@@ -182,15 +182,15 @@
 	var seenA, seenB uint64
 	for round := range 5 {
 		now := at(1000 + float64(round)/3)
-		toB, upToB := a.Since(seenA, false, now)
-		toA, upToA := b.Since(seenB, false, now.Add(3*time.Millisecond))
+		toB, upToB := a.UpdatesSince(seenA, false, now)
+		toA, upToA := b.UpdatesSince(seenB, false, now.Add(3*time.Millisecond))
 		seenA, seenB = upToB, upToA
 		a.Merge(toA, now.Add(5*time.Millisecond))
 		b.Merge(toB, now.Add(7*time.Millisecond))
 	}
-	updates, _ := a.Since(seenA, false, at(1002))
+	updates, _ := a.UpdatesSince(seenA, false, at(1002))
 	must.SliceEmpty(t, updates)
-	updates, _ = b.Since(seenB, false, at(1002))
+	updates, _ = b.UpdatesSince(seenB, false, at(1002))
 	must.SliceEmpty(t, updates)
 	seqBefore, _ := a.Seq()
 	a.LoadSnapshot(b.Snapshot(at(1002)), at(1003))
@@ -210,7 +210,7 @@
 		seen := map[[2]int]uint64{}
 		now := at(0)
 		send := func(from, to int) bool {
-			updates, upTo := all[from].Since(seen[[2]int{from, to}], false, now)
+			updates, upTo := all[from].UpdatesSince(seen[[2]int{from, to}], false, now)
 			seen[[2]int{from, to}] = upTo
 			all[to].Merge(updates, now)
 			return len(updates) > 0
--- a/internal/quarantine/operator.go
+++ b/internal/quarantine/operator.go
@@ -15,11 +15,13 @@
 const (
 	// ErrNotRefused: no quarantined content has a digest with this prefix; nothing was changed.
 	ErrNotRefused = errors.ConstError("no quarantined request has this digest")
-	// ErrAmbiguous: several quarantined contents have one; nothing was changed.
+	// ErrAmbiguous: several quarantined contents have a digest with this prefix; nothing was
+	// changed.
 	ErrAmbiguous = errors.ConstError("several quarantined requests have digests with this prefix")
 )
 
-// maxReleaseAttempts bounds the writes of a release that conflict with the daemons' writes.
+// maxReleaseAttempts is how often a release is tried whose write conflicts with the daemons'
+// writes.
 const maxReleaseAttempts = 8
 
 // List returns the store's snapshot. It fails with the errors of objectapi.Store and of
@@ -68,8 +70,8 @@
 	}
 }
 
-// findByPrefix returns the digest of the one quarantined content that begins with prefix. It
-// fails with ErrNotRefused or ErrAmbiguous; an empty prefix matches no content.
+// findByPrefix returns the digest of the only quarantined content whose digest begins with
+// prefix. It fails with ErrNotRefused or ErrAmbiguous; an empty prefix matches no content.
 func (s *Snapshot) findByPrefix(prefix string) (found Digest, err error) {
 	matches := 0
 	for i := range s.Contents {
--- a/internal/quarantine/persist.go
+++ b/internal/quarantine/persist.go
@@ -18,8 +18,8 @@
 	// without a change of the evidence is needed as this daemon may become the one that saves
 	// for its zone at any time.
 	checkInterval = 2 * time.Second
-	// writeJitter is the longest random delay before a write. The other daemons that could
-	// write the same learn within it that the first one did.
+	// writeJitter is the longest random delay before a write. While the other daemons that have
+	// the same to write wait, they learn that the first one wrote it.
 	writeJitter = 300 * time.Millisecond
 	// retryDelay is the wait after a failed write.
 	retryDelay = time.Second
@@ -29,8 +29,8 @@
 )
 
 // Keeper saves to the store what must survive a restart of all daemons, and loads what other
-// daemons saved. While no instance crashes it makes no call to the store, but for the reads of
-// a daemon without peers.
+// daemons saved. While no instance crashes it makes no call to the store, except for the
+// regular reads of a daemon that no other daemon sends updates to.
 type Keeper struct {
 	Feed  objectapi.Feed
 	Key   string // of the quarantine record in the store
@@ -43,7 +43,7 @@
 	Uniform func(low, high time.Duration) time.Duration
 	Wall    func() time.Time // time of day, noted for operators
 	Log     *zap.Logger
-	// Kick is signalled when the evidence changed.
+	// Kick is signalled when the evidence has changed.
 	Kick chan struct{}
 }
 
@@ -71,8 +71,8 @@
 	}
 }
 
-// waitForChange waits until the evidence changed, at most for d. A d shorter than checkInterval,
-// after a failed write or on a daemon that polls the store, is waited for in full.
+// waitForChange waits until the evidence changes, at most for d. If d is shorter than
+// checkInterval, after a failed write or on a daemon that polls the store, it waits for all of d.
 func (p *Keeper) waitForChange(ctx context.Context, d time.Duration) {
 	if d < checkInterval {
 		pause.For(ctx, d)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Take merges the quarantine record, as read from the store by the caller. It fails with the
-// errors of ParseSnapshot.
+// Take merges a quarantine record that the caller read from the store and enforces the
+// quarantines that follow from it. It fails with the errors of ParseSnapshot.
 func (p *Keeper) Take(value []byte) error {
 	s, err := ParseSnapshot(value)
 	if err != nil {
--- a/internal/quarantine/prune.go
+++ b/internal/quarantine/prune.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Limits on the number of contents: when many instances crash, all that they ran is suspected.
+// Limits on the number of records: when many instances crash, all contents that they ran are
+// suspected.
 const (
 	maxSuspected   = 4096
 	maxQuarantined = 256
 )
 
-// Prune removes expired suspects, then enforces the limits: it takes from the workspace with
-// the most records the one with the fewest crashes, the oldest first. So one workspace's many
-// contents cannot evict another's.
+// Prune removes expired suspects and enforces the limits. While a limit is exceeded, it removes
+// a record of the workspace with the most: the one with the fewest crashes, and of several such
+// the least recently changed. So one workspace's many contents cannot evict another's.
 func (e *Evidence) Prune(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,8 +46,8 @@
 	}
 }
 
-// weakest returns a workspace's matching record with the fewest crashes, the least recently
-// changed one of several; e.mu is held.
+// weakest returns a workspace's matching record with the fewest crashes, and of several
+// such the least recently changed; e.mu is held.
 func (e *Evidence) weakest(workspace string, matches func(*record) bool) (weakest Digest) {
 	var found *record
 	for d, r := range e.records {
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// simulation simulates replicas under load, in steps of 10 ms. A poisonous
-// content crashes the replica that runs it. A request that met a crash is retried once; its caller
-// then sends it once more, with one retry.
+// simulation simulates replicas under load, in steps of 10 ms. A poisonous content crashes the
+// replica that runs it. A request in progress at a crash is retried once; its caller then sends
+// it once more, with one retry.
 type simulation struct {
 	rng              *rand.Rand
 	now              time.Time
@@ -50,8 +50,8 @@
 }
 
 type delayedDigest struct {
-	at time.Time
-	d  Digest
+	knownAt time.Time // when all daemons know it
+	digest  Digest
 }
 
 const (
@@ -79,8 +79,8 @@
 func (s *simulation) step(arriving ...*request) {
 	s.now = s.now.Add(simulationStep)
 	for _, p := range s.propagating {
-		if !p.at.After(s.now) {
-			s.known[p.d] = true
+		if !p.knownAt.After(s.now) {
+			s.known[p.digest] = true
 		}
 	}
 	for _, r := range arriving {
@@ -150,7 +150,7 @@
 	})
 }
 
-// crash crashes a replica: what was in progress there is suspected, and sent again.
+// crash crashes a replica: the requests in progress there become suspects and are sent again.
 func (s *simulation) crash(rep *replica) {
 	var suspects []Suspect
 	for _, exec := range rep.running {
@@ -183,7 +183,7 @@
 }
 
 // Guards against quarantining harmless requests that are in progress where a poisonous one
-// crashes its replica, and whose retries meet it again. Of the 73 crashes of a recorded day, 71
+// crashes its replica, and whose retries are at the next replica that it crashes. Of the 73 crashes of a recorded day, 71
 // had other requests in progress, up to 25 of them without an event. Here two poisonous contents
 // arrive again and again: only they may be quarantined, after at most six crashes each (three,
 // and those in progress until all daemons know).
@@ -210,9 +210,9 @@
 	}
 }
 
-// Replicas that crash for other reasons, a third of them at once and single ones again and
-// again, put nothing into quarantine, not even a content that is in progress everywhere all the
-// time.
+// Crashes for other reasons put nothing into quarantine, neither of a third of the replicas at
+// once nor of single ones again and again, not even a content that is in progress everywhere all
+// the time.
 func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	for seed := range seeds {
 		s := newSimulation(seed, 14)
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -9,7 +9,7 @@
 )
 
 // Snapshot is the store's record of contents that crashed instances, which survives a restart
-// of all processes. Contents with a single crash are not in it.
+// of all processes. Contents with a single crash that were never quarantined are not in it.
 type Snapshot struct {
 	Contents []StoredContent `json:"contents"`
 }
@@ -63,8 +63,8 @@
 }
 
 // loadContent merges one content and reports whether its counters put it into quarantine; e.mu
-// is held. The store keeps no times of crashes: they are taken as independent and recent, but
-// ignored if this daemon knows of a success or has the content in quarantine.
+// is held. The store keeps no times of crashes, so they are taken as independent and recent.
+// They are ignored if this daemon knows of a success or has the content in quarantine.
 func (e *Evidence) loadContent(c StoredContent, now time.Time) (quarantined bool) {
 	known := e.records[c.Digest]
 	u := Word{Digest: c.Digest, Workspace: c.Workspace, counters: c.counters}
@@ -123,8 +123,8 @@
 	return s
 }
 
-// MarkSaved notes that the store holds a snapshot. That is sent on as a change, so that other
-// relays need not write the same.
+// MarkSaved notes that the store holds a snapshot. This counts as a change of its contents, so
+// that other relays learn of it and need not write the same.
 func (e *Evidence) MarkSaved(s Snapshot, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/quarantine/summary.go
+++ b/internal/quarantine/summary.go
@@ -6,14 +6,15 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// contentSummary is what log lines show of a content.
+// contentSummary is what log lines show of a content: the instances that crashed while it was
+// in progress there, and how often it was quarantined.
 type contentSummary struct {
 	workspace string
 	instances []string
 	counters
 }
 
-// summary returns what log lines show of a content; it is zero for an unknown one.
+// summary returns the summary of a content; it is zero if the content has no record.
 func (e *Evidence) summary(d Digest) contentSummary {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/quarantine/updates.go
+++ b/internal/quarantine/updates.go
@@ -31,30 +31,30 @@
 // maxUpdates bounds the updates in one message: 256 of some 200 bytes each.
 const maxUpdates = 256
 
-// Since returns the contents that changed after a sequence number, the earliest changes first,
-// and the sequence number up to which the receiver then knows all changes. With clusterWide
-// it leaves out the contents that only relays need.
-func (e *Evidence) Since(seq uint64, clusterWide bool, now time.Time) (updates []Word, upTo uint64) {
+// UpdatesSince returns the state of the contents that changed after a sequence number, the
+// earliest changes first, and the sequence number up to which the receiver then knows all
+// changes. With clusterWide it leaves out the contents that only relays need.
+func (e *Evidence) UpdatesSince(seq uint64, clusterWide bool, now time.Time) (updates []Word, upTo uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	type numbered struct {
-		d Digest
-		r *record
+	type changedRecord struct {
+		digest Digest
+		record *record
 	}
-	var changed []numbered
+	var changed []changedRecord
 	for d, r := range e.records {
 		if r.seq > seq && (!clusterWide || r.clusterWide()) {
-			changed = append(changed, numbered{d, r})
+			changed = append(changed, changedRecord{d, r})
 		}
 	}
-	slices.SortFunc(changed, func(a, b numbered) int { return int(int64(a.r.seq) - int64(b.r.seq)) })
+	slices.SortFunc(changed, func(a, b changedRecord) int { return int(int64(a.record.seq) - int64(b.record.seq)) })
 	upTo = max(e.seq, seq)
 	if len(changed) > maxUpdates {
 		changed = changed[:maxUpdates]
-		upTo = changed[maxUpdates-1].r.seq
+		upTo = changed[maxUpdates-1].record.seq
 	}
 	for _, c := range changed {
-		updates = append(updates, c.r.update(c.d, now))
+		updates = append(updates, c.record.update(c.digest, now))
 	}
 	return updates, upTo
 }
