--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -22,8 +22,8 @@
 	lines     chan []byte // never closed: handlers may outlive the grace period of a stop and still log
 	dropped   atomic.Uint64
 	closeOnce sync.Once
-	closing   chan struct{}
-	done      chan struct{}
+	closing   chan struct{} // closed by Close
+	done      chan struct{} // closed when the buffered lines are written
 }
 
 // NewWriter returns a writer whose lines a background goroutine writes to out until Close.
@@ -33,10 +33,10 @@
 	return w
 }
 
-// maxBatch is the size in bytes at which a batch of lines is written out.
+// maxBatch is the size in bytes at which no more lines are added to a batch.
 const maxBatch = 32 << 10
 
-// run writes lines until the writer is closed, then those left in the buffer.
+// run writes lines to out until the writer is closed, then writes the lines left in the buffer.
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
 	for {
@@ -52,8 +52,8 @@
 	}
 }
 
-// write writes a line together with those waiting in the buffer, until the batch reaches
-// maxBatch.
+// write writes a line and those that wait in the buffer in a single call, adding lines until the
+// batch reaches maxBatch.
 func (w *Writer) write(out io.Writer, line []byte) {
 	batch := line
 	for more := true; more && len(batch) < maxBatch; {
@@ -67,7 +67,7 @@
 	_, _ = out.Write(batch) // a failed log write cannot be reported anywhere
 }
 
-// Write implements io.Writer. It reports success also for a dropped line.
+// Write implements io.Writer. It reports success even if it drops the line.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case <-w.closing:
@@ -100,7 +100,7 @@
 	}
 }
 
-// Logger returns a logger that writes JSON lines to w.
+// Logger returns a logger that writes lines of the given level and above to w, as JSON.
 func Logger(w *Writer, level zapcore.Level) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/internal/decisionlog/trace.go
+++ b/internal/decisionlog/trace.go
@@ -12,10 +12,10 @@
 
 // Line is one parsed log line.
 type Line struct {
-	Source  string // last word before the JSON, or the name of the file
+	Source  string // last word before the JSON; if there is none, the name of the file
 	Time    time.Time
 	Message string
-	Fields  map[string]any // all others but level, stacktrace and errorVerbose
+	Fields  map[string]any // without ts, msg, level, stacktrace and errorVerbose
 }
 
 // String formats the line as text for a reader.
@@ -41,11 +41,11 @@
 	return keys
 }
 
-// maxLine is the largest size in bytes of one line of a log file.
+// maxLine is the size in bytes at which a line of a log file is too long to be read.
 const maxLine = 1 << 20
 
-// ReadLines parses a log file. The last word before a line's JSON becomes its source, or else
-// the name. Lines without valid JSON or with an invalid time are skipped. It fails with the
+// ReadLines parses a log file. A line's source is the last word before its JSON, or name if there
+// is none. Lines without valid JSON or with an invalid time are skipped. It fails with the
 // errors of r, and with bufio.ErrTooLong at a line that reaches maxLine.
 func ReadLines(name string, r io.Reader) ([]Line, error) {
 	var out []Line
@@ -97,11 +97,12 @@
 	"store does not answer": true, "store answers again": true, "relay lost": true, "relay used": true, "relay out of touch": true,
 }
 
-// Story returns, in order of time, the lines that explain one request: its own lines, the state
-// changes of the daemons that logged them, and on all daemons the lines about the groups and
-// instances that it was sent to. If its lines name a content, it adds all lines about this
-// content on all daemons, at any time: why a content is quarantined may lie far back. It returns
-// nil if no line has the request's id.
+// Story returns, in order of time, the lines that explain one request: its own lines and, from
+// contextWindow before the first of them until the last, the state changes of the daemons that
+// logged them and every daemon's lines about the groups and instances that it was sent to. If its
+// own lines name a content, the lines of all daemons about this content are added whatever their
+// time, as a content may have been quarantined long before. It returns nil if no line has the
+// request's id.
 func Story(lines []Line, id string) []Line {
 	var ownLines []Line
 	for _, l := range lines {
@@ -129,13 +130,13 @@
 	}
 	var out []Line
 	for _, l := range lines {
-		near := !l.Time.Before(first.Add(-contextWindow)) && !l.Time.After(last)
+		inWindow := !l.Time.Before(first.Add(-contextWindow)) && !l.Time.After(last)
 		switch {
 		case l.Fields["id"] == id:
 			out = append(out, l)
 		case mentionsContent(l, contents):
 			out = append(out, l)
-		case near && sources[l.Source] && stateMessages[l.Message], near && l.Message != "request" && mentionsName(l, names):
+		case inWindow && sources[l.Source] && stateMessages[l.Message], inWindow && l.Message != "request" && mentionsName(l, names):
 			out = append(out, l)
 		}
 	}
@@ -143,7 +144,7 @@
 	return out
 }
 
-// collectNames adds the names of the instances and groups that a request was sent to.
+// collectNames adds to names the instances and groups that the sends of a request line went to.
 func collectNames(l Line, names map[string]bool) {
 	sends, _ := l.Fields["sends"].([]any)
 	for _, s := range sends {
@@ -161,8 +162,8 @@
 	if content, ok := l.Fields["content"].(string); ok && contents[content] {
 		return true
 	}
-	several, _ := l.Fields["contents"].([]any)
-	return slices.ContainsFunc(several, func(v any) bool {
+	listed, _ := l.Fields["contents"].([]any)
+	return slices.ContainsFunc(listed, func(v any) bool {
 		content, ok := v.(string)
 		return ok && contents[content]
 	})
--- a/internal/decisionlog/trace_test.go
+++ b/internal/decisionlog/trace_test.go
@@ -40,8 +40,8 @@
   60.0 front-1 {"level":"info","ts":"2026-12-02T10:01:00Z","msg":"request","id":"abc","status":502,"reason":"ended_instances","content":"c1"}
 `
 
-// A request is quarantined because of other requests with the same content, on other daemons and
-// long before it.
+// The requests that put a content into quarantine may have run on other daemons and long before
+// the traced request.
 func TestTraceHasLinesOnQuarantinedContent(t *testing.T) {
 	lines, err := ReadLines("log", strings.NewReader(quarantineLog))
 	must.NoError(t, err)
