--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -26,19 +26,19 @@
 	RetryBudgetSpent        Cause = "repeat budget spent"
 	AttemptsSpent           Cause = "attempts spent"
 	FailedOtherwise         Cause = "failed otherwise"
-	LateOnArrival           Cause = "came late already" // its objective had passed before it arrived
+	LateOnArrival           Cause = "came late already" // the caller had waited for longer than the objective before
 	ConnectFailed           Cause = "connect"           // a connection could not be opened
 	StalledBeforeFirstEvent Cause = "silence before the first event"
 	StalledBetweenEvents    Cause = "silence between events"
 	ConnectionLost          Cause = "send broke off"
-	NotExecuted             Cause = "replica full or gone" // it reported that it had not run the request
-	FirstEventLate          Cause = "first event late"     // with a single send: time in the queue and for reading the prompt
-	GapTooLong              Cause = "pause of its replica" // with a single send
+	NotExecuted             Cause = "replica full or gone" // the replica reported that it had not run the request
+	FirstEventLate          Cause = "first event late"     // although there was a single send: time in the queue and for reading the prompt
+	GapTooLong              Cause = "pause of its replica" // between two events, although there was a single send
 )
 
-// KindSummary counts the requests of one kind by cause.
+// KindSummary counts the requests of one model or route by cause.
 type KindSummary struct {
-	Kind   string        `json:"kind"` // model, or route of a plain service
+	Kind   string        `json:"kind"` // name of the model, or of the route for a plain service
 	Total  int           `json:"total"`
 	Counts map[Cause]int `json:"counts"`
 }
@@ -52,7 +52,7 @@
 	Versions []VersionSummary `json:"versions"` // of the configuration, the one with the oldest proof first
 }
 
-// CauseSummary is one cause with its requests' number and median time.
+// CauseSummary is one cause with the number of its requests and their median time.
 type CauseSummary struct {
 	Cause Cause `json:"cause"`
 	Count int   `json:"count"`
@@ -80,7 +80,7 @@
 	objectiveMS    int
 	gapObjectiveMS int
 	sendEnds       []string // how each of its sends ended
-	weight         int
+	weight         int      // number of requests that the line represents
 }
 
 // Of returns the report on saved lines. It skips lines that are no request lines, and requests
@@ -169,7 +169,7 @@
 }
 
 // cause returns the first cause that applies to a request, and the time in ms that was too
-// long (of an answer in time, the time to its first event).
+// long; for an answer in time, that is the time to its first event.
 func (req *request) cause() (cause Cause, tooLongMS int) {
 	if req.status/100 != 2 {
 		return req.failureCause(), req.tookMS
@@ -207,8 +207,8 @@
 	return FailedOtherwise
 }
 
-// delayCause returns the cause of a late answer: single if there was a single send, otherwise by
-// how the first send ended: stalled if its stream stalled.
+// delayCause returns the cause of a late answer. This is single if there was a single send;
+// otherwise it follows from how the first send ended, and is stalled if its stream stalled.
 func (req *request) delayCause(single, stalled Cause) Cause {
 	if len(req.sendEnds) < 2 {
 		return single
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -10,8 +10,8 @@
 	"pearlanding/internal/decisionlog"
 )
 
-// The saved lines of two daemons hold one request in time that represents 16, one for each of six
-// causes, and one that matched no route or key.
+// The saved lines of two daemons hold a line in time that represents 16 requests, a line for each
+// of six causes, and one of a request that matched no route or key.
 func TestReportOnSavedLines(t *testing.T) {
 	f, err := os.Open("testdata/saved.log")
 	must.NoError(t, err)
--- a/internal/account/write.go
+++ b/internal/account/write.go
@@ -40,7 +40,7 @@
 }
 
 // worstSeconds returns the maxShownSeconds seconds with the most requests not in time, in order
-// of time.
+// of time. Seconds whose requests were all in time are left out.
 func (r Report) worstSeconds() []SecondSummary {
 	missed := func(s SecondSummary) int { return s.Total - s.Counts[InTime] }
 	threshold := 0
@@ -72,12 +72,13 @@
 	return strings.Join(parts, ", ")
 }
 
-// sortedByCount returns the causes, most frequent first.
+// sortedByCount returns the causes, the most frequent first.
 func sortedByCount(counts map[Cause]int) []Cause {
 	return slices.SortedFunc(maps.Keys(counts), func(a, b Cause) int { return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b)) })
 }
 
-// nthLargest returns the n-th largest number of all, which holds at least n. It sorts all.
+// nthLargest returns the n-th largest of all, which must hold n numbers or more. It sorts all in
+// descending order.
 func nthLargest(all []int, n int) int {
 	slices.SortFunc(all, func(a, b int) int { return cmp.Compare(b, a) })
 	return all[n-1]
