--- a/internal/findings/findings.go
+++ b/internal/findings/findings.go
@@ -49,7 +49,8 @@
 // Empty reports whether the list has no findings.
 func (l *List) Empty() bool { return len(l.findings) == 0 }
 
-// Items returns the findings sorted by file and line; those of one line stay in order.
+// Items returns the findings sorted by file and line; those of one line keep the order in
+// which they were added.
 func (l *List) Items() []Finding {
 	out := append([]Finding(nil), l.findings...)
 	sort.SliceStable(out, func(i, j int) bool {
--- a/internal/findings/ini.go
+++ b/internal/findings/ini.go
@@ -18,7 +18,7 @@
 	List  *List
 }
 
-// location is a key of a section; an empty key is the section header.
+// location is a key of a section, or the section's header if key is empty.
 type location struct{ section, key string }
 
 // Parse parses data as INI and adds a finding for each duplicate section or key. It returns nil
@@ -45,7 +45,7 @@
 	return index
 }
 
-// eachKey calls visit for each section header (with an empty key) and each key.
+// eachKey calls visit with the location and line of each section header and each key.
 func eachKey(data []byte, visit func(location, int)) {
 	section := ""
 	scanner := bufio.NewScanner(bytes.NewReader(data))
@@ -78,7 +78,7 @@
 	})
 }
 
-// Add adds a finding at a key of a section, or at the section header if the file lacks the key.
+// Add adds a finding at a key of a section, or at the section header if the key is missing.
 func (f *File) Add(section, key, format string, args ...any) {
 	line := f.lines[location{section, key}]
 	if line == 0 {
@@ -87,8 +87,8 @@
 	f.List.Add(Finding{File: f.Name, Section: section, Key: key, Line: line, Message: fmt.Sprintf(format, args...)})
 }
 
-// Section reads the keys of one INI section. It remembers which keys were read, to report the
-// others as unknown.
+// Section reads the keys of one INI section. It keeps track of the keys that were read, so that
+// the others can be reported as unknown.
 type Section struct {
 	file      *File
 	name      string
@@ -149,8 +149,8 @@
 	return out
 }
 
-// Int reads a whole number within [low, high]. It returns def if the key is missing, and def with
-// a finding if the value is invalid. So do the readers below.
+// Int reads a whole number within [low, high]. It returns def if the key is missing, and
+// adds a finding and returns def if the value is invalid.
 func (s *Section) Int(key string, def, low, high int) int {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -164,7 +164,7 @@
 	return n
 }
 
-// Float reads a number within [low, high].
+// Float reads a number within [low, high]. A missing or invalid value is treated as by Int.
 func (s *Section) Float(key string, def, low, high float64) float64 {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -178,7 +178,8 @@
 	return n
 }
 
-// Duration reads a duration with a unit (for example 1500ms) within [low, high].
+// Duration reads a duration with a unit (for example 1500ms) within [low, high]. A missing or
+// invalid value is treated as by Int.
 func (s *Section) Duration(key string, def, low, high time.Duration) time.Duration {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -192,7 +193,7 @@
 	return d
 }
 
-// Bool reads a boolean.
+// Bool reads a boolean. A missing or invalid value is treated as by Int.
 func (s *Section) Bool(key string, def bool) bool {
 	value, ok := s.lookup(key)
 	if !ok {
@@ -206,7 +207,8 @@
 	return b
 }
 
-// OneOf reads a value that must be one of the choices.
+// OneOf reads a value that must be one of the choices. A missing or invalid value is treated as
+// by Int.
 func (s *Section) OneOf(key, def string, choices ...string) string {
 	value, ok := s.lookup(key)
 	if !ok {
