--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -23,8 +23,8 @@
 	refusals   sync.Map // *metrics.Counter by refusalKey
 	Attempts   *metrics.Counter
 	Retries    *metrics.Counter
-	Resumes    *metrics.Counter // resumed streams; not counted yet
-	Crossed    *metrics.Counter // answers that belong to another request
+	Resumes    *metrics.Counter // resumed streams; never incremented so far
+	Crossed    *metrics.Counter // answers from an upstream that belong to another request
 	TokensOut  *metrics.Counter // chunks of streams delivered to callers
 }
 
@@ -44,10 +44,10 @@
 	Answer        *metrics.Histogram
 	FirstToken    *metrics.Histogram
 	BetweenTokens *metrics.Histogram
-	BeforeSend    *metrics.Histogram // until admission, claim and routing are done
+	BeforeSend    *metrics.Histogram // until admission and claim, before an instance is chosen
 }
 
-// New returns a set with all counters at zero.
+// New returns a Telemetry with its own set of metrics.
 func New() *Telemetry {
 	set := metrics.NewSet()
 	return &Telemetry{
@@ -99,8 +99,8 @@
 	histogram.Update(time.Since(start).Seconds())
 }
 
-// Logger returns a logger that writes JSON lines from a level up (debug, info, warn, error). It
-// fails if the level is unknown.
+// Logger returns a logger that writes lines of the given level (debug, info, warn or error) and
+// above to out, as JSON. It fails if the level is unknown.
 func Logger(level string, out zapcore.WriteSyncer) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
