--- a/cmd/pearlanding/operate.go
+++ b/cmd/pearlanding/operate.go
@@ -143,7 +143,7 @@
 
 // failed prints why a call failed and returns its exit code.
 func (f operatorFlags) failed(err error) int {
-	var refused *operator.Refused
+	var refused *operator.ProblemError
 	if !errors.As(err, &refused) {
 		fmt.Fprintln(os.Stderr, err)
 		if errors.Is(err, operator.ErrNoAnswer) {
@@ -278,12 +278,12 @@
 	}
 	table("DAEMON\tPLACE\tSTATE\tREVISION\tHEARD", func(row rowFunc) {
 		for _, d := range s.Daemons {
-			row("%s\t%s\t%s\t%d\t%s", d.Slot, d.Place, d.State, d.Revision, age(d.HeardMS))
+			row("%s\t%s\t%s\t%d\t%s", d.Slot, d.Place, d.State, d.Revision, age(d.LastContactMS))
 		}
 	})
 	table("DOMAIN\tPLACE\tHOLDER\tVMS\tGROUPS\tACCELERATORS NOT SERVING", func(row rowFunc) {
 		for _, d := range s.Domains {
-			row("%s\t%s\t%s\t%d\t%v\t%d", d.Name, d.Place, d.Holder, d.VMs, d.Groups, d.Stranded)
+			row("%s\t%s\t%s\t%d\t%v\t%d", d.Name, d.Place, d.Holder, d.VMs, d.Groups, d.AcceleratorsNotServing)
 		}
 	})
 	table("POOL\tWANTED\tSERVING", func(row rowFunc) {
--- a/internal/embedded/faults_test.go
+++ b/internal/embedded/faults_test.go
@@ -185,7 +185,7 @@
 	s := start(t, Options{Daemons: 3})
 	ctx := context.Background()
 	_, err := operator.NewClient("127.0.0.1:1", "", "").Status(ctx)
-	must.ErrorIs(t, err, operator.ErrNotReached, must.Sprint("nothing was sent, so nothing is unknown"))
+	must.ErrorIs(t, err, operator.ErrUnreachable, must.Sprint("nothing was sent, so nothing is unknown"))
 	ref, err := s.Daemons[0].Operator().Entry(ctx, ref("template", "pearl-despacho"))
 	must.NoError(t, err)
 	var wg sync.WaitGroup
@@ -207,7 +207,7 @@
 			}
 			continue
 		}
-		var refused *operator.Refused
+		var refused *operator.ProblemError
 		must.True(t, errors.As(err, &refused))
 		must.Eq(t, problem.CodeConflict, refused.Code)
 		must.SliceLen(t, 1, refused.Conflicts)
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,7 +18,7 @@
 	"pearlanding/internal/problem"
 )
 
-// Client calls a daemon's operators' interface.
+// Client calls the operators' interface of a daemon.
 type Client struct {
 	base  string
 	token string
@@ -26,46 +26,47 @@
 	http  *http.Client
 }
 
-// NewClient returns a client for the operators' listener at address (IP:port).
-// user names who makes changes; token may be empty on loopback.
+// NewClient returns a client for the operators' listener at address (IP:port). user is
+// recorded as the author of changes; token may be empty on loopback.
 func NewClient(address, token, user string) *Client {
 	return &Client{base: "http://" + address, token: token, user: user, http: &http.Client{Timeout: callTimeout + 5*time.Second}}
 }
 
-// Refused is a problem that the daemon answered with.
-type Refused struct {
+// ProblemError is a problem that the daemon answered with, and its details by code:
+// Findings with CodeInvalid, Conflicts with CodeConflict, ChangeID with CodeUnknownWrite.
+type ProblemError struct {
 	problem.Problem
 	Findings  []findings.Finding `json:"-"`
 	Conflicts []catalog.Conflict `json:"-"`
 	ChangeID  string             `json:"-"`
 }
 
-// ErrNotReached: no connection to the daemon was had; nothing was sent.
-const ErrNotReached = errors.ConstError("operator: daemon not reached")
+// ErrUnreachable: no connection to the daemon could be opened; nothing was sent.
+const ErrUnreachable = errors.ConstError("operator: daemon not reached")
 
-// ErrNoAnswer: the call was sent and no whole answer came; it may have been done.
+// ErrNoAnswer: the call was sent and no complete answer arrived; it may have been applied.
 const ErrNoAnswer = errors.ConstError("operator: no answer")
 
-// Apply puts the entries of an INI text in place.
+// Apply creates or replaces the entries of an INI text. file names it in findings.
 func (c *Client) Apply(ctx context.Context, file string, text []byte) (ChangeResult, error) {
 	var out ChangeResult
 	return out, c.call(ctx, http.MethodPost, "/operator/v1/apply?file="+url.QueryEscape(file), text, &out)
 }
 
-// Delete removes an entry at its current revision.
+// Delete removes an entry if revision is its current one.
 func (c *Client) Delete(ctx context.Context, ref catalog.Ref, revision uint64) (ChangeResult, error) {
 	var out ChangeResult
 	path := "/operator/v1/config/" + string(ref.Kind) + "/" + ref.Name + "?revision=" + strconv.FormatUint(revision, 10)
 	return out, c.call(ctx, http.MethodDelete, path, nil, &out)
 }
 
-// ForgetDaemon takes a stopped daemon out of the registry.
+// ForgetDaemon removes a stopped daemon from the registry.
 func (c *Client) ForgetDaemon(ctx context.Context, slot string) (ChangeResult, error) {
 	var out ChangeResult
 	return out, c.call(ctx, http.MethodDelete, "/operator/v1/daemons/"+url.PathEscape(slot), nil, &out)
 }
 
-// Change asks what became of a change.
+// Change returns the state of a change.
 func (c *Client) Change(ctx context.Context, id string) (ChangeResult, error) {
 	var out ChangeResult
 	return out, c.call(ctx, http.MethodGet, "/operator/v1/changes/"+url.PathEscape(id), nil, &out)
@@ -79,8 +80,8 @@
 }
 
 // Entries lists the entries of a kind.
-func (c *Client) Entries(ctx context.Context, kind catalog.Kind) ([]EntryBrief, error) {
-	var out []EntryBrief
+func (c *Client) Entries(ctx context.Context, kind catalog.Kind) ([]EntrySummary, error) {
+	var out []EntrySummary
 	return out, c.call(ctx, http.MethodGet, "/operator/v1/config/"+string(kind), nil, &out)
 }
 
@@ -108,13 +109,14 @@
 	return out, c.call(ctx, http.MethodGet, "/operator/v1/status", nil, &out)
 }
 
-// Explain returns the raw JSON of what the daemon keeps of a request.
+// Explain returns the JSON of api.Explanation for a recent request of the daemon.
 func (c *Client) Explain(ctx context.Context, requestID string) ([]byte, error) {
 	var out []byte
 	return out, c.call(ctx, http.MethodGet, "/operator/v1/explain/"+url.PathEscape(requestID), nil, &out)
 }
 
-// call makes one call; out is a *[]byte for the raw body, or filled from JSON.
+// call makes one call. It decodes the JSON answer into out, or stores the raw body if
+// out is a *[]byte.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -127,7 +129,7 @@
 	resp, err := c.http.Do(req)
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return errors.WithType(err, ErrNotReached)
+		return errors.WithType(err, ErrUnreachable)
 	}
 	if err != nil {
 		return errors.WithType(err, ErrNoAnswer)
@@ -138,7 +140,7 @@
 		return errors.WithType(err, ErrNoAnswer)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refused(resp.StatusCode, data)
+		return decodeProblem(resp.StatusCode, data)
 	}
 	if raw, ok := out.(*[]byte); ok {
 		*raw = data
@@ -147,8 +149,8 @@
 	return errors.Trace(json.Unmarshal(data, out))
 }
 
-// refused reads a problem with its typed extra.
-func refused(status int, data []byte) error {
+// decodeProblem decodes a problem and its typed extra into a ProblemError.
+func decodeProblem(status int, data []byte) error {
 	var wire struct {
 		problem.Problem
 		Extra json.RawMessage `json:"extra"`
@@ -156,7 +158,7 @@
 	if err := json.Unmarshal(data, &wire); err != nil {
 		return errors.Errorf("daemon answered %d", status)
 	}
-	out := &Refused{Problem: wire.Problem}
+	out := &ProblemError{Problem: wire.Problem}
 	switch wire.Code {
 	case problem.CodeInvalid:
 		_ = json.Unmarshal(wire.Extra, &out.Findings)
@@ -173,4 +175,4 @@
 }
 
 // Error implements error.
-func (r *Refused) Error() string { return r.Problem.Error() }
+func (r *ProblemError) Error() string { return r.Problem.Error() }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -20,8 +20,8 @@
 	"pearlanding/internal/revision"
 )
 
-// ChangeResult is the answer to a change. Pending: it is written and will be in
-// force, and these daemons have not confirmed yet.
+// ChangeResult is the answer to a change. With VerdictPending the change is written and
+// will be in force; WaitingFor names the daemons that have not confirmed it yet.
 type ChangeResult struct {
 	ChangeID   string           `json:"change_id"`
 	Revision   uint64           `json:"revision"`
@@ -30,18 +30,19 @@
 	TookMS     int64            `json:"took_ms"`
 }
 
-// headerOperator names who makes a change, for the other operator in a race.
+// headerOperator carries the author of a change, who is named to an operator whose
+// concurrent change is refused.
 const headerOperator = "Pearlanding-Operator"
 
-// acceptWait is how long a change waits for its acceptance before the answer
-// is "pending".
-const acceptWait = 8 * time.Second
+// acceptTimeout is how long a call waits for the change to be accepted before it answers
+// VerdictPending.
+const acceptTimeout = 8 * time.Second
 
-// conflictError carries lost races out of a commit.
+// conflictError carries the entries that another operator changed first.
 type conflictError struct{ conflicts []catalog.Conflict }
 
-// lostTo names who made the current revision of each entry in conflict.
-func lostTo(h revision.Head, conflicts ...catalog.Conflict) error {
+// newConflictError adds to each conflict the author of the entry's current revision.
+func newConflictError(h revision.Head, conflicts ...catalog.Conflict) error {
 	for i, c := range conflicts {
 		for _, change := range h.Changes {
 			if change.Revision == c.Current {
@@ -52,16 +53,16 @@
 	return &conflictError{conflicts}
 }
 
-func (e *conflictError) Error() string { return "changed by somebody else first" }
+func (e *conflictError) Error() string { return "entry was changed concurrently" }
 
-// apply puts the entries of an INI file in place.
+// apply creates or replaces the entries of an INI file.
 func (o *Operator) apply(ctx context.Context, c *app.RequestContext) *problem.Problem {
 	file := c.DefaultQuery("file", "request")
 	var list findings.List
 	edit := catalog.NewEdit()
 	edit.Parse(file, c.Request.Body(), &list)
 	if !list.Empty() {
-		return invalid(&list)
+		return invalidProblem(&list)
 	}
 	if len(edit.Refs()) == 0 {
 		return problem.New(http.StatusUnprocessableEntity, problem.CodeInvalid, "%s holds no entry", file)
@@ -69,7 +70,7 @@
 	return o.commit(ctx, c, func(h revision.Head, change revision.Change) (revision.Head, error) {
 		next, conflicts, changed := edit.Merge(h.Doc, h.Revision+1)
 		if len(conflicts) > 0 {
-			return h, lostTo(h, conflicts...)
+			return h, newConflictError(h, conflicts...)
 		}
 		var found findings.List
 		if edit.Check(next, &found); !found.Empty() {
@@ -82,7 +83,7 @@
 	})
 }
 
-// deleteEntry removes an entry whose current revision the operator names.
+// deleteEntry removes an entry if the operator names its current revision.
 func (o *Operator) deleteEntry(ctx context.Context, c *app.RequestContext) *problem.Problem {
 	ref := catalog.Ref{Kind: catalog.Kind(c.Param("kind")), Name: c.Param("name")}
 	expect, err := strconv.ParseUint(c.Query("revision"), 10, 64)
@@ -92,7 +93,7 @@
 	return o.commit(ctx, c, func(h revision.Head, change revision.Change) (revision.Head, error) {
 		next, conflict := h.Doc.Remove(ref, expect)
 		if conflict != nil {
-			return h, lostTo(h, *conflict)
+			return h, newConflictError(h, *conflict)
 		}
 		var found findings.List
 		if catalog.NewEdit().Check(next, &found); !found.Empty() {
@@ -102,8 +103,8 @@
 	})
 }
 
-// forgetDaemon takes a daemon out of the registry on the operator's word that
-// its process has stopped for good; changes no longer wait for it.
+// forgetDaemon removes a daemon from the registry, so that changes no longer wait for
+// it. The operator vouches that its process has stopped for good.
 func (o *Operator) forgetDaemon(ctx context.Context, c *app.RequestContext) *problem.Problem {
 	slot := c.Param("slot")
 	snap := o.Control.Snapshot()
@@ -118,18 +119,18 @@
 	})
 }
 
-// commit writes a change and waits until it is in force everywhere.
+// commit writes a change and waits up to acceptTimeout until it is in force everywhere.
 func (o *Operator) commit(ctx context.Context, c *app.RequestContext, edit func(revision.Head, revision.Change) (revision.Head, error)) *problem.Problem {
 	start := time.Now()
 	change := revision.Change{ID: uuid.NewString(), By: string(c.GetHeader(headerOperator))}
 	head, version, err := revision.Commit(ctx, o.Store, func(h revision.Head) (revision.Head, error) {
 		if _, done := h.Find(change.ID); done {
-			return h, revision.ErrUnchanged // our own write, whose answer was lost
+			return h, revision.ErrUnchanged // written by an earlier attempt whose answer was lost
 		}
 		return edit(h, change)
 	})
 	if err != nil && !errors.Is(err, revision.ErrUnchanged) {
-		return refusal(err, change.ID)
+		return commitProblem(err, change.ID)
 	}
 	o.Control.ObserveHead(ctx, head, version, start)
 	o.Offer(ctx, head, version)
@@ -150,7 +151,7 @@
 }
 
 func (o *Operator) awaitAccepted(ctx context.Context, target uint64) ChangeResult {
-	ctx, cancel := context.WithTimeout(ctx, acceptWait)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	for {
 		snap := o.Control.Snapshot()
@@ -165,8 +166,8 @@
 	}
 }
 
-// refusal maps why a commit failed.
-func refusal(err error, changeID string) *problem.Problem {
+// commitProblem returns the problem for a failed commit.
+func commitProblem(err error, changeID string) *problem.Problem {
 	var conflict *conflictError
 	var found *findings.Error
 	switch {
@@ -182,16 +183,16 @@
 	return problem.New(http.StatusServiceUnavailable, problem.CodePlatform, "not written: %v", err).After(2 * time.Second)
 }
 
-func invalid(list *findings.List) *problem.Problem {
+func invalidProblem(list *findings.List) *problem.Problem {
 	return problem.New(http.StatusUnprocessableEntity, problem.CodeInvalid, "%d findings", len(list.Items())).With(list.Items())
 }
 
-// findChange tells what became of a change whose answer was lost.
+// findChange returns the state of a change, for an operator whose answer was lost.
 func (o *Operator) findChange(ctx context.Context, c *app.RequestContext) *problem.Problem {
 	start := time.Now()
 	head, version, err := revision.Read(ctx, o.Store)
 	if err != nil {
-		return refusal(err, c.Param("id"))
+		return commitProblem(err, c.Param("id"))
 	}
 	o.Control.ObserveHead(ctx, head, version, start)
 	change, ok := head.Find(c.Param("id"))
@@ -207,32 +208,32 @@
 	return nil
 }
 
-// EntryBrief is one line of a list of entries.
-type EntryBrief struct {
+// EntrySummary is one row of a list of entries. Revision is the entry's own.
+type EntrySummary struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
 }
 
 func (o *Operator) listEntries(_ context.Context, c *app.RequestContext) *problem.Problem {
 	doc := o.Control.Snapshot().Head.Doc
-	out := []EntryBrief{}
+	out := []EntrySummary{}
 	switch catalog.Kind(c.Param("kind")) {
 	case catalog.KindTemplate:
 		for name, e := range doc.Templates {
-			out = append(out, EntryBrief{name, e.Changed})
+			out = append(out, EntrySummary{name, e.Changed})
 		}
 	case catalog.KindWorkspace:
 		for name, e := range doc.Workspaces {
-			out = append(out, EntryBrief{name, e.Changed})
+			out = append(out, EntrySummary{name, e.Changed})
 		}
 	case catalog.KindService:
 		for name, e := range doc.Services {
-			out = append(out, EntryBrief{name, e.Changed})
+			out = append(out, EntrySummary{name, e.Changed})
 		}
 	default:
 		return problem.New(http.StatusNotFound, problem.CodeNotFound, "no kind %q", c.Param("kind"))
 	}
-	sortBy(out, func(e EntryBrief) string { return e.Name })
+	sortBy(out, func(e EntrySummary) string { return e.Name })
 	c.JSON(http.StatusOK, out)
 	return nil
 }
--- a/internal/operator/intent.go
+++ b/internal/operator/intent.go
@@ -20,17 +20,17 @@
 	Intent  group.Intent `json:"intent"`
 	Version uint64       `json:"version"` // of the domain object
 	Group   string       `json:"group,omitempty"`
-	// Running is what the group had in progress when the intent was written;
-	// these requests are finished, not cut.
+	// Running is how many requests the group had in progress when the intent was
+	// written; these are finished.
 	Running int `json:"running"`
 }
 
-// intentTries bounds how often a write that lost a race against the domain's
-// holder is made again.
-const intentTries = 20
+// maxIntentTries limits how often the update is tried: the domain's holder writes the
+// same object.
+const maxIntentTries = 20
 
-// setIntent notes what an operator wants of a VM, by a conditional update of its
-// domain's object.
+// setIntent records an operator's intent for a VM by a conditional update of the object
+// of its domain.
 func (o *Operator) setIntent(ctx context.Context, c *app.RequestContext) *problem.Problem {
 	var want group.Intent
 	switch c.Param("intent") {
@@ -66,20 +66,20 @@
 	return "", false
 }
 
-// writeIntent makes the update. The domain's holder writes the same object, so a
-// lost race is run again; but if the VM's intent itself has changed since this
-// operation began, another operator was first and this one is told.
+// writeIntent updates the domain object. It retries after a version conflict, as the
+// domain's holder writes the same object. If the VM's intent itself has changed since the
+// first read, another operator was first and the answer is CodeConflict.
 func (o *Operator) writeIntent(ctx context.Context, domain, vm string, want group.Intent) (IntentResult, *problem.Problem) {
 	var before *group.Intent
 	mayHaveRun := false
-	for range intentTries {
+	for range maxIntentTries {
 		obj, err := o.Store.Get(ctx, group.Key(domain))
 		if err != nil {
-			return IntentResult{}, withOutcome(refusal(err, ""), mayHaveRun)
+			return IntentResult{}, withOutcome(commitProblem(err, ""), mayHaveRun)
 		}
 		d, err := group.DecodeDomain(obj.Value)
 		if err != nil {
-			return IntentResult{}, withOutcome(refusal(err, ""), mayHaveRun)
+			return IntentResult{}, withOutcome(commitProblem(err, ""), mayHaveRun)
 		}
 		record, ok := d.VMs[vm]
 		if !ok {
@@ -98,7 +98,7 @@
 		d.VMs[vm] = record
 		value, err := d.Encode()
 		if err != nil {
-			return IntentResult{}, refusal(err, "")
+			return IntentResult{}, commitProblem(err, "")
 		}
 		version, err := o.Store.Update(ctx, group.Key(domain), obj.Version, value)
 		switch {
@@ -108,7 +108,7 @@
 		case errors.Is(err, objectapi.ErrUnknownOutcome):
 			mayHaveRun = true
 		case !errors.Is(err, objectapi.ErrConflict):
-			return IntentResult{}, withOutcome(refusal(err, ""), mayHaveRun)
+			return IntentResult{}, withOutcome(commitProblem(err, ""), mayHaveRun)
 		}
 	}
 	return IntentResult{}, withOutcome(problem.New(http.StatusServiceUnavailable, problem.CodeConflict,
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator is the operators' interface over HTTP: changes of the
-// configuration, intents for VMs, and views of the system. Any daemon serves it.
+// Package operator serves operators over HTTP: configuration changes, intents for VMs,
+// and views of the system. Every daemon serves it. Client is its client side.
 package operator
 
 import (
@@ -28,14 +28,14 @@
 	"pearlanding/internal/telemetry"
 )
 
-// Deps is what the interface works with.
+// Deps are the dependencies of Operator.
 type Deps struct {
 	Settings  settings.Settings
 	Control   *control.Control
 	Store     objectapi.Store
 	API       *api.API
 	Telemetry *telemetry.Telemetry
-	// Offer pushes a head that was written here to all peers.
+	// Offer sends a head that this daemon has written to all peers.
 	Offer func(ctx context.Context, head revision.Head, version uint64)
 	Log   *zap.Logger
 }
@@ -43,13 +43,13 @@
 // Operator serves operators. Safe for concurrent use.
 type Operator struct{ Deps }
 
-// New returns the interface over its dependencies.
+// New returns an Operator over its dependencies.
 func New(d Deps) *Operator { return &Operator{d} }
 
 // Limits of the operators' interface.
 const (
-	maxBody = 1 << 20
-	// callTimeout bounds one operation; a change waits for its acceptance within.
+	maxBodyBytes = 1 << 20
+	// callTimeout limits one operation, the wait for the acceptance of a change included.
 	callTimeout = 15 * time.Second
 )
 
@@ -57,37 +57,37 @@
 func (o *Operator) Server(listener net.Listener) *server.Hertz {
 	h := server.New(
 		server.WithListener(listener), server.WithTransport(standard.NewTransporter),
-		server.WithMaxRequestBodySize(maxBody),
+		server.WithMaxRequestBodySize(maxBodyBytes),
 		server.WithExitWaitTime(time.Millisecond), server.WithDisablePrintRoute(true),
 		config.Option{F: func(o *config.Options) { o.NoDefaultServerHeader = true }},
 	)
 	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.String(http.StatusOK, "ok\n") })
-	h.GET("/metrics", o.read(o.metrics))
+	h.GET("/metrics", o.allowRead(o.metrics))
 	v1 := h.Group("/operator/v1")
-	v1.POST("/apply", o.change(o.apply))
-	v1.GET("/changes/:id", o.read(o.findChange))
-	v1.GET("/config/:kind", o.read(o.listEntries))
-	v1.GET("/config/:kind/:name", o.read(o.getEntry))
-	v1.DELETE("/config/:kind/:name", o.change(o.deleteEntry))
-	v1.DELETE("/daemons/:slot", o.change(o.forgetDaemon))
-	v1.GET("/vms", o.read(o.listVMs))
-	v1.POST("/vms/:name/:intent", o.change(o.setIntent))
-	v1.GET("/groups", o.read(o.listGroups))
-	v1.GET("/status", o.read(o.status))
-	v1.GET("/explain/:id", o.read(o.explain))
+	v1.POST("/apply", o.allowChange(o.apply))
+	v1.GET("/changes/:id", o.allowRead(o.findChange))
+	v1.GET("/config/:kind", o.allowRead(o.listEntries))
+	v1.GET("/config/:kind/:name", o.allowRead(o.getEntry))
+	v1.DELETE("/config/:kind/:name", o.allowChange(o.deleteEntry))
+	v1.DELETE("/daemons/:slot", o.allowChange(o.forgetDaemon))
+	v1.GET("/vms", o.allowRead(o.listVMs))
+	v1.POST("/vms/:name/:intent", o.allowChange(o.setIntent))
+	v1.GET("/groups", o.allowRead(o.listGroups))
+	v1.GET("/status", o.allowRead(o.status))
+	v1.GET("/explain/:id", o.allowRead(o.explain))
 	return h
 }
 
-// handler serves one authorised call, or returns why not.
+// handler serves one authorised call, or returns the problem to answer with.
 type handler func(ctx context.Context, c *app.RequestContext) *problem.Problem
 
-// read wraps a handler that changes nothing; either role may call it.
-func (o *Operator) read(serve handler) app.HandlerFunc {
+// allowRead wraps a handler that changes nothing; the read and change roles may call it.
+func (o *Operator) allowRead(serve handler) app.HandlerFunc {
 	return o.wrap(serve, o.Settings.Operators.ReadTokenSHA256, o.Settings.Operators.ChangeTokenSHA256)
 }
 
-// change wraps a handler that changes something; only the change role may.
-func (o *Operator) change(serve handler) app.HandlerFunc {
+// allowChange wraps a handler that changes the system; only the change role may call it.
+func (o *Operator) allowChange(serve handler) app.HandlerFunc {
 	return o.wrap(serve, o.Settings.Operators.ChangeTokenSHA256)
 }
 
@@ -109,8 +109,8 @@
 	}
 }
 
-// authorise compares the digest of the bearer token in constant time. With no
-// change token set, everybody on loopback may do everything.
+// authorise compares the digest of the bearer token in constant time. Without a change
+// token in the settings, the listener is on loopback and every call is allowed.
 func (o *Operator) authorise(c *app.RequestContext, digests []string) *problem.Problem {
 	if o.Settings.Operators.ChangeTokenSHA256 == "" {
 		return nil
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -14,7 +14,7 @@
 	"pearlanding/internal/problem"
 )
 
-// VMView is one upstream VM as operators see it.
+// VMView shows one upstream VM.
 type VMView struct {
 	Name         string       `json:"name"`
 	Place        string       `json:"place"`
@@ -26,7 +26,7 @@
 	Gone         bool         `json:"gone,omitempty"`
 	Group        string       `json:"group,omitempty"`
 	GroupState   group.State  `json:"group_state,omitempty"`
-	// Running is how many requests the VM's group has in progress, as reported.
+	// Running is how many requests the VM's group has in progress, by its last report.
 	Running int `json:"running"`
 }
 
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// GroupView is one group as operators see it.
+// GroupView shows one group.
 type GroupView struct {
 	ID      string         `json:"id"`
 	Pool    string         `json:"pool"`
@@ -67,7 +67,7 @@
 	State   group.State    `json:"state"`
 	Reason  string         `json:"reason,omitempty"`
 	Members []group.Member `json:"members"`
-	// ReadyAgeMS is how old the evidence is that all members are ready; -1: none.
+	// ReadyAgeMS is the age of the last evidence that all members were ready; -1: none.
 	ReadyAgeMS int64 `json:"ready_age_ms"`
 	Running    int   `json:"running"`
 	Queued     int   `json:"queued"`
@@ -99,17 +99,17 @@
 	return nil
 }
 
-// DaemonView is one daemon as the asked daemon knows it.
+// DaemonView shows one daemon as the answering daemon knows it.
 type DaemonView struct {
-	Slot        string            `json:"slot"`
-	State       control.PeerState `json:"state"`
-	Revision    uint64            `json:"revision"`
-	Incarnation string            `json:"incarnation"`
-	Place       string            `json:"place"`
-	HeardMS     int64             `json:"heard_ms_ago"` // -1: never
+	Slot          string            `json:"slot"`
+	State         control.PeerState `json:"state"`
+	Revision      uint64            `json:"revision"`
+	Incarnation   string            `json:"incarnation"`
+	Place         string            `json:"place"`
+	LastContactMS int64             `json:"heard_ms_ago"` // -1: never
 }
 
-// DomainView sums up one fabric domain.
+// DomainView summarises one fabric domain.
 type DomainView struct {
 	Name    string              `json:"name"`
 	Place   string              `json:"place"`
@@ -117,18 +117,18 @@
 	Version uint64              `json:"version"`
 	VMs     int                 `json:"vms"`
 	Groups  map[group.State]int `json:"groups"`
-	// Stranded is the accelerators of present VMs in no serving group.
-	Stranded int `json:"accelerators_not_serving"`
+	// AcceleratorsNotServing counts the accelerators of present VMs in no serving group.
+	AcceleratorsNotServing int `json:"accelerators_not_serving"`
 }
 
-// PoolView tells how many replicas of a pool serve.
+// PoolView shows how many replicas of a pool are wanted and serving.
 type PoolView struct {
 	Name    string `json:"name"`
 	Wanted  int    `json:"wanted"`
 	Serving int    `json:"serving"`
 }
 
-// StatusView is the system as the asked daemon knows it.
+// StatusView shows the system as the answering daemon knows it.
 type StatusView struct {
 	Daemon        string       `json:"daemon"`
 	Admitting     bool         `json:"admitting"`
@@ -164,7 +164,7 @@
 	out := []DaemonView{}
 	for slot, p := range snap.Peers {
 		out = append(out, DaemonView{Slot: slot, State: p.State, Revision: p.Revision, Incarnation: p.Incarnation,
-			Place: p.Place, HeardMS: ageMS(now, p.HeardAt)})
+			Place: p.Place, LastContactMS: ageMS(now, p.HeardAt)})
 	}
 	sortBy(out, func(d DaemonView) string { return d.Slot })
 	return out
@@ -174,7 +174,7 @@
 	out := []DomainView{}
 	for name, c := range snap.Domains {
 		v := DomainView{Name: name, Place: c.Domain.Place, Holder: c.Domain.Holder.Slot, Version: c.Version,
-			VMs: len(c.Domain.VMs), Groups: map[group.State]int{}, Stranded: c.Domain.NotServing()}
+			VMs: len(c.Domain.VMs), Groups: map[group.State]int{}, AcceleratorsNotServing: c.Domain.NotServing()}
 		for _, g := range c.Domain.Groups {
 			v.Groups[g.State]++
 		}
