--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires one daemon together from its settings: the callers',
-// operators' and peers' listeners, the control loop and the duties.
+// Package daemon builds one daemon from its settings and runs it: the listeners for
+// callers, operators and peers, the control loop, and its membership of the registry.
 package daemon
 
 import (
@@ -32,39 +32,43 @@
 	"pearlanding/internal/upstream"
 )
 
-// Daemon is one running daemon. Create with New, then Run.
+// Daemon is one daemon. Create it with New, then call Run once.
 type Daemon struct {
-	settings   settings.Settings
-	log        *zap.Logger
-	control    *control.Control
-	membership *membership
-	ledger     *ledger.Ledger
-	api        *api.API
-	operator   *operator.Operator
-	callers    *server.Hertz
-	operators  *server.Hertz
-	peers      *rpc.Peers
-	manager    *group.Manager
-	prober     *group.Prober
+	settings    settings.Settings
+	log         *zap.Logger
+	control     *control.Control
+	membership  *membership
+	ledger      *ledger.Ledger
+	api         *api.API
+	operator    *operator.Operator
+	callers     *server.Hertz
+	operators   *server.Hertz
+	peers       *rpc.Peers
+	reconcilers *group.Manager
+	prober      *group.Prober
 }
 
-// Time constants that are not worth a setting.
+// Limits that have no setting.
 const (
+	// connectTimeout limits opening a connection to an upstream.
 	connectTimeout = time.Second
-	slowStart      = 5 * time.Second
-	claimTimeout   = 3 * time.Second
-	compactAfter   = 64
-	// appendsPerSecond bounds the batches of one ledger shard.
+	// slowStart is how long a replica at a new epoch gets only a growing share of requests.
+	slowStart = 5 * time.Second
+	// storeTimeout limits one ledger operation, and the release of the slot.
+	storeTimeout = 3 * time.Second
+	// ledgerCompactAfter is how many batches a shard's log holds before it is compacted.
+	ledgerCompactAfter = 64
+	// appendsPerSecond limits the batches written to one ledger shard.
 	appendsPerSecond = 20
 )
 
-// quietHTTP silences the HTTP library's own lines, once for the process; what
-// matters of them is logged by us with the request's id.
-var quietHTTP = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
+// silenceHTTPLog turns the HTTP library's own log off, once for the process: this daemon
+// logs failed requests itself, with their ids.
+var silenceHTTPLog = sync.OnceFunc(func() { hlog.SetLevel(hlog.LevelFatal) })
 
-// New wires a daemon over a platform store.
+// New returns a daemon over a platform store. It opens no listener.
 func New(s settings.Settings, store objectapi.Store, log *zap.Logger) *Daemon {
-	quietHTTP()
+	silenceHTTPLog()
 	tele := telemetry.New()
 	counted := objectapi.Counted(store, tele.Set)
 	incarnation := uuid.NewString()
@@ -75,15 +79,15 @@
 	d := &Daemon{settings: s, log: log, peers: rpc.NewPeers(s.Timing.SyncInterval * 2)}
 	d.control = control.New(cfg, func() cluster.DaemonLoad { return cluster.DaemonLoad{InUse: gate.InUse()} })
 	d.membership = &membership{
-		cfg: cfg, store: counted, control: d.control, peers: d.peers, log: log, answers: newPeerAnswers(log), started: time.Now(),
-		self: revision.Member{Incarnation: incarnation, Peer: s.Listen.Peers, Operator: s.Listen.Operators,
+		cfg: cfg, store: counted, control: d.control, peers: d.peers, log: log, responses: newPeerResponses(log), started: time.Now(),
+		member: revision.Member{Incarnation: incarnation, Peer: s.Listen.Peers, Operator: s.Listen.Operators,
 			Place: s.Daemon.Place, Domain: s.Daemon.Domain},
 		timing: membershipTiming{sync: s.Timing.SyncInterval, lease: s.Timing.AdmissionLease, forgetAfter: s.Timing.ForgetAfter},
 	}
 	d.ledger = ledger.New(ledger.Config{
-		Store: counted, Shards: s.Ledger.Shards, Timeout: claimTimeout, AppendsPerSecond: appendsPerSecond,
-		Options: ledger.Options{MaxEntries: s.Ledger.MaxEntries, Retention: s.Ledger.Retention, CompactAfter: compactAfter},
-		Now:     time.Now, Forwarder: &forwarder{control: d.control, peers: d.peers},
+		Store: counted, Shards: s.Ledger.Shards, Timeout: storeTimeout, AppendsPerSecond: appendsPerSecond,
+		Options: ledger.Options{MaxEntries: s.Ledger.MaxEntries, Retention: s.Ledger.Retention, CompactAfter: ledgerCompactAfter},
+		Now:     time.Now, Forwarder: &recordForwarder{control: d.control, peers: d.peers},
 	})
 	d.api = api.New(api.Deps{
 		Settings: s, Control: d.control, Gate: gate, Ledger: d.ledger, Upstream: upstream.New(connectTimeout),
@@ -92,15 +96,15 @@
 	})
 	d.operator = operator.New(operator.Deps{Settings: s, Control: d.control, Store: counted, API: d.api,
 		Telemetry: tele, Offer: d.membership.offer, Log: log})
-	d.wireGroups(counted, incarnation)
-	d.gauges(tele)
+	d.newGroupComponents(counted, incarnation)
+	d.registerGauges(tele)
 	return d
 }
 
-func (d *Daemon) wireGroups(store objectapi.Store, incarnation string) {
+func (d *Daemon) newGroupComponents(store objectapi.Store, incarnation string) {
 	t, p := d.settings.Timing, d.settings.Planner
 	engines := engine.NewClient(t.OrderTimeout)
-	d.manager = group.NewManager(group.HolderConfig{
+	d.reconcilers = group.NewManager(group.HolderConfig{
 		Self:  group.Holder{Slot: d.settings.Daemon.Name, Incarnation: incarnation},
 		Store: store, Engines: engines, View: d.control, Interval: t.ProbeInterval, Lease: t.DutyLease, Log: d.log,
 		Policy: group.Policy{
@@ -111,7 +115,7 @@
 	d.prober = &group.Prober{Engines: engines, View: d.control, Interval: t.ProbeInterval, MaxAge: t.EvidenceAge}
 }
 
-func (d *Daemon) gauges(tele *telemetry.Telemetry) {
+func (d *Daemon) registerGauges(tele *telemetry.Telemetry) {
 	tele.Gauge("pearlanding_requests_in_flight", func() float64 { return float64(d.api.InFlight()) })
 	tele.Gauge("pearlanding_config_revision", func() float64 { return float64(d.control.Snapshot().Head.Revision) })
 	tele.Gauge("pearlanding_config_accepted", func() float64 { return float64(d.control.Snapshot().AcceptedUpTo) })
@@ -132,7 +136,7 @@
 	tele.Gauge("pearlanding_replicas_missing", func() float64 { return float64(missingReplicas(d.control.Snapshot())) })
 }
 
-// missingReplicas is how many wanted replicas don't serve now.
+// missingReplicas returns how many wanted replicas are not serving.
 func missingReplicas(snap *control.Snapshot) int {
 	missing := 0
 	for _, p := range snap.Pools {
@@ -141,21 +145,21 @@
 	return missing
 }
 
-// Ready waits until the daemon admits requests.
+// Ready waits until the daemon admits requests. It returns an error if ctx ends first.
 func (d *Daemon) Ready(ctx context.Context) error {
 	_, err := d.control.Await(ctx, func(s *control.Snapshot) bool { return s.MayAdmit(time.Now()) })
 	return err
 }
 
-// InFlight is the number of callers' requests in progress.
+// InFlight returns the number of callers' requests in progress.
 func (d *Daemon) InFlight() int64 { return d.api.InFlight() }
 
-// Control gives access to the control state.
+// Control returns the control state.
 func (d *Daemon) Control() *control.Control { return d.control }
 
-// Run serves on the listeners, which it closes, until ctx ends, then stops in
-// order: it admits nothing new, finishes what it has, gives up its slot and ends.
-// It returns early when its slot is taken by another process or a listener fails.
+// Run serves on the listeners, which it closes, until ctx ends. Then it stops admitting,
+// releases its slot, drains the requests in progress and returns nil. It returns an error
+// earlier if another process takes its slot (ErrSuperseded) or a listener fails.
 func (d *Daemon) Run(ctx context.Context, listeners *Listeners) error {
 	d.serveHTTP(listeners)
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -167,15 +171,15 @@
 	start(d.membership.syncLoop)
 	start(d.membership.pollLoop)
 	start(d.membership.acceptLoop)
-	start(d.manager.Run)
+	start(d.reconcilers.Run)
 	start(d.prober.Run)
 	start(func(ctx context.Context) {
-		report(failed, rpc.Serve(ctx, listeners.Peers, cluster.Methods(&peerHandler{d.control, d.ledger})))
+		reportError(failed, rpc.Serve(ctx, listeners.Peers, cluster.Methods(&peerHandler{d.control, d.ledger})))
 	})
 	registering, stopRegistering := context.WithCancel(background)
-	wg.Go(func() { report(failed, d.membership.registerLoop(registering)) })
-	go func() { report(failed, d.callers.Run()) }()
-	go func() { report(failed, d.operators.Run()) }()
+	wg.Go(func() { reportError(failed, d.membership.registerLoop(registering)) })
+	go func() { reportError(failed, d.callers.Run()) }()
+	go func() { reportError(failed, d.operators.Run()) }()
 	d.log.Info("serving", zap.String("callers", d.settings.Listen.Callers), zap.String("operators", d.settings.Listen.Operators),
 		zap.String("peers", d.settings.Listen.Peers))
 	var err error
@@ -192,18 +196,18 @@
 	return err
 }
 
-// idleTimeout is how long a connection without a request is kept.
+// idleTimeout is how long a connection without a request stays open.
 const idleTimeout = time.Minute
 
-// Listeners are a daemon's open listening sockets.
+// Listeners are the open listening sockets of a daemon.
 type Listeners struct {
 	Callers   net.Listener
 	Operators net.Listener
 	Peers     net.Listener
 }
 
-// Listen opens all three listeners, so that a taken address is an error at once,
-// with nothing left open.
+// Listen opens all three listeners. It returns an error if an address is in use, and then
+// leaves none open.
 func Listen(addresses settings.Listen) (*Listeners, error) {
 	l := &Listeners{}
 	for _, open := range []struct {
@@ -224,7 +228,7 @@
 	return l, nil
 }
 
-// Close closes those that are open.
+// Close closes the listeners that are open.
 func (l *Listeners) Close() {
 	for _, open := range []net.Listener{l.Callers, l.Operators, l.Peers} {
 		if open != nil {
@@ -233,38 +237,38 @@
 	}
 }
 
-// serveHTTP makes the servers for callers and operators over the open listeners.
+// serveHTTP creates the servers for callers and operators on the open listeners.
 func (d *Daemon) serveHTTP(l *Listeners) {
 	limits := connlimit.Limits{Idle: idleTimeout, Read: d.settings.Limits.ReadTimeout, Write: d.settings.Limits.WriteTimeout}
 	d.callers = d.api.Server(connlimit.Bound(l.Callers, limits))
 	d.operators = d.operator.Server(connlimit.Bound(l.Operators, limits))
 }
 
-func report(failed chan<- error, err error) {
+func reportError(failed chan<- error, err error) {
 	if err != nil {
 		failed <- err
 	}
 }
 
-// stop is the clean end: no new requests, those in progress finished within the
-// drain deadline, the slot given up.
+// stop shuts down cleanly: it stops admitting, releases the slot, and waits up to the
+// drain deadline for the requests in progress.
 func (d *Daemon) stop(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.Timing.DrainDeadline)
 	defer cancel()
 	d.control.Stop(ctx)
-	leaveCtx, cancelLeave := context.WithTimeout(ctx, claimTimeout)
+	leaveCtx, cancelLeave := context.WithTimeout(ctx, storeTimeout)
 	d.membership.leave(leaveCtx)
 	cancelLeave()
 	d.log.Info("stopping", zap.Int64("in_flight", d.api.InFlight()))
-	for d.api.InFlight() > 0 && sleep(ctx, drainPoll) {
+	for d.api.InFlight() > 0 && sleep(ctx, drainPollInterval) {
 	}
 	if left := d.api.InFlight(); left > 0 {
-		d.log.Warn("drain deadline passed; requests are cut", zap.Int64("in_flight", left))
+		d.log.Warn("drain deadline passed; requests in progress are aborted", zap.Int64("in_flight", left))
 	}
 	for _, s := range []*server.Hertz{d.callers, d.operators} {
 		_ = s.Close()
 	}
 }
 
-// drainPoll is how often a stopping daemon looks whether it has finished.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often a stopping daemon checks for requests in progress.
+const drainPollInterval = 20 * time.Millisecond
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -17,43 +17,43 @@
 	"pearlanding/internal/rpc"
 )
 
-// membership keeps this daemon in the registry and in touch with its peers and
-// the platform. Its loops only carry messages; all deciding is in control.
+// membership keeps this daemon in the registry and exchanges state with its peers and the
+// platform. Its loops only send and receive; package control makes the decisions.
 type membership struct {
-	cfg     control.Config
-	self    revision.Member
-	timing  membershipTiming
-	store   objectapi.Store
-	control *control.Control
-	peers   *rpc.Peers
-	log     *zap.Logger
-	answers peerAnswers
-	started time.Time
+	cfg       control.Config
+	member    revision.Member
+	timing    membershipTiming
+	store     objectapi.Store
+	control   *control.Control
+	peers     *rpc.Peers
+	log       *zap.Logger
+	responses peerResponses
+	started   time.Time
 }
 
-// peerAnswers logs when a peer ceases to answer exchanges, and when it answers again. Safe for
-// concurrent use.
-type peerAnswers struct {
-	log    *zap.Logger
-	mu     sync.Mutex
-	silent map[string]time.Time // when the first exchange without an answer was sent, by slot
+// peerResponses logs when a peer stops answering sync calls and when it answers again. Safe
+// for concurrent use.
+type peerResponses struct {
+	log         *zap.Logger
+	mu          sync.Mutex
+	silentSince map[string]time.Time // by slot: when the first unanswered call was sent
 }
 
-func newPeerAnswers(log *zap.Logger) peerAnswers {
-	return peerAnswers{log: log, silent: map[string]time.Time{}}
+func newPeerResponses(log *zap.Logger) peerResponses {
+	return peerResponses{log: log, silentSince: map[string]time.Time{}}
 }
 
-// note takes in how an exchange ended.
-func (a *peerAnswers) note(slot string, sent, ended time.Time, err error) {
+// note records the result of a sync call.
+func (a *peerResponses) note(slot string, sent, ended time.Time, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	since, silent := a.silent[slot]
+	since, silent := a.silentSince[slot]
 	switch {
 	case err != nil && !silent:
-		a.silent[slot] = sent
+		a.silentSince[slot] = sent
 		a.log.Info("peer does not answer", zap.String("peer", slot), zap.Int64("waited_ms", ended.Sub(sent).Milliseconds()), zap.Error(err))
 	case err == nil && silent:
-		delete(a.silent, slot)
+		delete(a.silentSince, slot)
 		a.log.Info("peer answers again", zap.String("peer", slot), zap.Int64("silent_ms", ended.Sub(since).Milliseconds()),
 			zap.Int64("took_ms", ended.Sub(sent).Milliseconds()))
 	}
@@ -65,11 +65,11 @@
 	forgetAfter time.Duration
 }
 
-// syncFanOut is how many peers, drawn at random, one round of exchanges asks;
-// hearings and evidence of the others come relayed.
-const syncFanOut = 8
+// syncPeersPerRound is how many random peers one round of sync calls asks; the state of
+// the others arrives through them.
+const syncPeersPerRound = 8
 
-// syncLoop exchanges with peers every interval until ctx ends.
+// syncLoop calls random peers every sync interval until ctx ends.
 func (m *membership) syncLoop(ctx context.Context) {
 	ticker := time.NewTicker(m.timing.sync)
 	defer ticker.Stop()
@@ -93,16 +93,16 @@
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	request := m.control.Request()
-	for _, slot := range others[:min(len(others), syncFanOut)] {
-		go m.syncOne(ctx, slot, snap.Peers[slot].Peer, request)
+	for _, slot := range others[:min(len(others), syncPeersPerRound)] {
+		go m.syncWith(ctx, slot, snap.Peers[slot].Peer, request)
 	}
 }
 
-func (m *membership) syncOne(ctx context.Context, slot, address string, request cluster.SyncRequest) {
+func (m *membership) syncWith(ctx context.Context, slot, address string, request cluster.SyncRequest) {
 	sent := time.Now()
 	var reply cluster.SyncReply
 	err := m.peers.Call(ctx, address, cluster.MethodSync, request, &reply)
-	m.answers.note(slot, sent, time.Now(), err)
+	m.responses.note(slot, sent, time.Now(), err)
 	switch {
 	case err == nil && reply.Slot == slot:
 		m.control.Synced(reply, sent)
@@ -111,9 +111,8 @@
 	}
 }
 
-// pollLoop reads the head from the platform when no fresher evidence has come by
-// way of a peer, so that the platform's load does not grow with the number of
-// daemons.
+// pollLoop reads the head from the platform, but only when no peer has passed on a recent
+// read, so that the platform's load does not grow with the number of daemons.
 func (m *membership) pollLoop(ctx context.Context) {
 	for {
 		if m.control.Snapshot().PollDue(time.Now(), m.timing.lease) {
@@ -134,6 +133,7 @@
 	m.control.ObserveHead(ctx, head, version, sent)
 }
 
+// sleep waits for d and reports whether it passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -145,11 +145,12 @@
 	}
 }
 
-// ErrSuperseded: another process has taken this daemon's slot.
+// ErrSuperseded: another process has taken over this daemon's slot.
 const ErrSuperseded = errors.ConstError("daemon: slot was taken by another process")
 
-// registerLoop joins the registry and joins again when the slot was forgotten
-// while this daemon was silent. It returns when ctx ends or the slot was taken.
+// registerLoop joins the registry, and joins again if the slot was removed while this
+// daemon was silent. It returns nil when ctx ends, and ErrSuperseded if another process
+// holds the slot.
 func (m *membership) registerLoop(ctx context.Context) error {
 	joined := false
 	for {
@@ -169,9 +170,9 @@
 	}
 }
 
-// join takes the slot. A slot that stands at another address may still be held
-// by a running process: it is removed first, and taken only once that removal is
-// accepted, when the process has surely lost its lease.
+// join takes the slot. If the slot is registered at another address, its process may
+// still run: the slot is removed first and taken only once that removal is accepted, by
+// which time the process has lost its lease.
 func (m *membership) join(ctx context.Context) {
 	sent := time.Now()
 	head, version, err := revision.Commit(ctx, m.store, func(h revision.Head) (revision.Head, error) {
@@ -179,27 +180,27 @@
 		switch {
 		case exists && old.Incarnation == m.cfg.Incarnation:
 			return h, revision.ErrUnchanged
-		case exists && old.Peer != m.self.Peer:
+		case exists && old.Peer != m.member.Peer:
 			return h.WithoutMember(m.cfg.Slot, false), nil
 		case slices.Contains(h.Fenced, m.cfg.Slot):
 			return h, revision.ErrUnchanged
 		}
-		return h.WithMember(m.cfg.Slot, m.self), nil
+		return h.WithMember(m.cfg.Slot, m.member), nil
 	})
 	if err != nil && !errors.Is(err, revision.ErrUnchanged) {
 		m.log.Info("registry not reachable", zap.Error(err))
 		return
 	}
-	m.adopt(ctx, head, version, sent)
+	m.publishHead(ctx, head, version, sent)
 }
 
-// adopt applies a head that this daemon wrote or read, and offers it to all.
-func (m *membership) adopt(ctx context.Context, head revision.Head, version uint64, sent time.Time) {
+// publishHead applies a head that this daemon wrote or read, and offers it to all peers.
+func (m *membership) publishHead(ctx context.Context, head revision.Head, version uint64, sent time.Time) {
 	m.control.ObserveHead(ctx, head, version, sent)
 	m.offer(ctx, head, version)
 }
 
-// offer pushes a head to every registered peer and notes who has applied it.
+// offer sends a head to every registered peer and records which of them applied it.
 func (m *membership) offer(ctx context.Context, head revision.Head, version uint64) {
 	for slot, member := range head.Members {
 		if slot == m.cfg.Slot {
@@ -215,8 +216,8 @@
 	}
 }
 
-// acceptLoop records accepted revisions in the head and forgets silent slots,
-// while that duty falls to this daemon.
+// acceptLoop records accepted revisions in the head and removes silent slots, while this
+// daemon owns that duty.
 func (m *membership) acceptLoop(ctx context.Context) {
 	for sleep(ctx, m.timing.sync) {
 		snap := m.control.Snapshot()
@@ -226,7 +227,7 @@
 		if snap.AcceptedUpTo >= snap.Head.Revision && snap.Head.Accepted < snap.Head.Revision {
 			m.recordAccepted(ctx, snap.Head.Revision)
 		}
-		m.forgetSilent(ctx, snap)
+		m.removeSilent(ctx, snap)
 	}
 }
 
@@ -243,7 +244,7 @@
 	}
 }
 
-func (m *membership) forgetSilent(ctx context.Context, snap *control.Snapshot) {
+func (m *membership) removeSilent(ctx context.Context, snap *control.Snapshot) {
 	now := time.Now()
 	for slot, p := range snap.Peers {
 		last := p.HeardAt
@@ -253,13 +254,14 @@
 		if slot == m.cfg.Slot || now.Sub(last) < m.timing.forgetAfter {
 			continue
 		}
-		m.log.Info("daemon forgotten", zap.String("slot", slot), zap.Duration("silent", now.Sub(last)))
+		m.log.Info("silent daemon removed from the registry", zap.String("slot", slot), zap.Duration("silent", now.Sub(last)))
 		m.remove(ctx, slot, p.Incarnation, p.Refused)
 		return
 	}
 }
 
-// remove takes a slot out of the registry if that incarnation still holds it.
+// remove removes a slot from the registry if that incarnation still holds it. stopped
+// reports that its process has stopped admitting for good.
 func (m *membership) remove(ctx context.Context, slot, incarnation string, stopped bool) {
 	sent := time.Now()
 	head, version, err := revision.Commit(ctx, m.store, func(h revision.Head) (revision.Head, error) {
@@ -269,9 +271,9 @@
 		return h.WithoutMember(slot, stopped), nil
 	})
 	if err == nil {
-		m.adopt(ctx, head, version, sent)
+		m.publishHead(ctx, head, version, sent)
 	}
 }
 
-// leave gives up this daemon's own slot; it must have stopped admitting.
+// leave releases this daemon's own slot. The daemon must have stopped admitting.
 func (m *membership) leave(ctx context.Context) { m.remove(ctx, m.cfg.Slot, m.cfg.Incarnation, true) }
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -11,7 +11,7 @@
 	"pearlanding/internal/rpc"
 )
 
-// peerHandler answers other daemons.
+// peerHandler answers the calls of other daemons.
 type peerHandler struct {
 	control *control.Control
 	ledger  *ledger.Ledger
@@ -27,7 +27,7 @@
 	return h.control.Offer(ctx, head)
 }
 
-// Append implements cluster.Handler: it batches a peer's records with our own.
+// Append implements cluster.Handler: it batches a peer's records with this daemon's own.
 func (h *peerHandler) Append(ctx context.Context, req cluster.AppendRequest) (cluster.AppendReply, error) {
 	entries, err := h.ledger.AppendHere(ctx, req.Shard, req.Records)
 	if errors.Is(err, ledger.ErrFull) {
@@ -36,14 +36,15 @@
 	return cluster.AppendReply{Entries: entries}, err
 }
 
-// forwarder hands ledger records to the shard's preferred daemon.
-type forwarder struct {
+// recordForwarder sends ledger records to the daemon that owns the duty of their shard.
+type recordForwarder struct {
 	control *control.Control
 	peers   *rpc.Peers
 }
 
-// Forward implements ledger.Forwarder.
-func (f *forwarder) Forward(ctx context.Context, shard int, records []ledger.Record) ([]ledger.Entry, bool, error) {
+// Forward implements ledger.Forwarder. It returns false if this daemon should append the
+// records itself.
+func (f *recordForwarder) Forward(ctx context.Context, shard int, records []ledger.Record) ([]ledger.Entry, bool, error) {
 	snap := f.control.Snapshot()
 	preferred := snap.Owner(ledger.Duty(shard))
 	if preferred == "" || preferred == snap.Slot {
