--- a/internal/revision/accept.go
+++ b/internal/revision/accept.go
@@ -5,29 +5,29 @@
 // Verdict is the state of a written change.
 type Verdict string
 
-// Verdicts on a change.
+// Verdicts on a change: in force at every daemon, or written but not yet known to be.
 const (
 	VerdictAccepted Verdict = "accepted"
 	VerdictPending  Verdict = "pending"
 )
 
-// FenceFactor is how much longer than the admission lease the fence is, against
-// clocks that run at different rates.
+// FenceFactor is the ratio of the fence time to the admission lease. It covers clocks that
+// run at different rates.
 const FenceFactor = 1.25
 
-// Fence is how long after a quorum the daemons not heard have surely lost their
-// admission lease of the given term.
+// Fence returns the fence time for an admission lease of the given term: this long after a
+// quorum acknowledged, every daemon that had no contact has lost its lease.
 func Fence(term time.Duration) time.Duration { return time.Duration(float64(term) * FenceFactor) }
 
-// ack is the last a decider knows of one slot's revision.
+// ack is the newest revision that a slot's process is known to have applied.
 type ack struct {
 	incarnation string
 	revision    uint64
-	since       time.Time // when that revision was first noted of that process
+	since       time.Time // when Note first recorded that revision for that process
 }
 
-// Acks collects which slots have applied which revision, and decides about the
-// head's. The zero value is usable; it belongs to one goroutine.
+// Acks records which slots have applied which revision, and decides whether the head's is
+// accepted. The zero value is ready to use; not safe for concurrent use.
 type Acks struct{ slots map[string]ack }
 
 // Note records at now that the slot's process has applied the revision.
@@ -41,39 +41,38 @@
 	}
 }
 
-// Decide judges the head's revision at now; waiting names the slots that have
-// not acknowledged it. It is accepted if any of these holds:
+// Decide returns the verdict on the head's revision at now; waiting lists the slots that
+// have not acknowledged it. The revision is accepted if either of these holds:
 //
-//   - every slot has acknowledged or is stopped (its address refused a connection
-//     since the decider had the revision: the process was gone, and a new one takes
-//     the slot only with the current head), and no slot was removed whose process
-//     may still run;
-//   - a quorum acknowledged, and each of its processes was heard again a fence
-//     time after its acknowledgement. So all of them lived through that time: any
-//     daemon still without the revision either heard one of them, and learned it,
-//     or heard nothing and refused nothing, and lost its lease.
-func (a *Acks) Decide(now time.Time, head Head, term time.Duration, self string, heard map[string]Hearing) (v Verdict, waiting []string) {
+//   - every slot has acknowledged or its process is gone (its address refused a
+//     connection since this daemon applied the revision; a new process takes the slot
+//     only with the current head), and no slot was removed whose process may still run;
+//   - a quorum acknowledged, and each of its processes answered again at least the fence
+//     time after its acknowledgement, so it ran throughout. A daemon still without the
+//     revision either had contact with one of them and learned it, or had contact with
+//     none, saw none refuse a connection, and lost its lease.
+func (a *Acks) Decide(now time.Time, head Head, term time.Duration, self string, contacts map[string]Hearing) (v Verdict, waiting []string) {
 	if head.Accepted >= head.Revision {
 		return VerdictAccepted, nil
 	}
-	mine := a.slots[self]
-	accounted := len(head.Fenced) == 0 && mine.revision >= head.Revision
+	own := a.slots[self]
+	accounted := len(head.Fenced) == 0 && own.revision >= head.Revision
 	for _, slot := range head.Slots() {
 		if a.slots[slot].revision >= head.Revision {
 			continue
 		}
 		waiting = append(waiting, slot)
-		accounted = accounted && heard[slot].stopped() && heard[slot].Refused.After(mine.since)
+		accounted = accounted && contacts[slot].processGone() && contacts[slot].Refused.After(own.since)
 	}
-	lived := func(slot string) bool {
+	outlivedFence := func(slot string) bool {
 		k := a.slots[slot]
-		last := heard[slot]
+		last := contacts[slot]
 		if slot == self {
 			last = Hearing{Incarnation: k.incarnation, At: now}
 		}
 		return k.revision >= head.Revision && last.Incarnation == k.incarnation && last.At.Sub(k.since) >= Fence(term)
 	}
-	if accounted || head.quorum(lived) {
+	if accounted || head.quorum(outlivedFence) {
 		return VerdictAccepted, nil
 	}
 	return VerdictPending, waiting
--- a/internal/revision/commit.go
+++ b/internal/revision/commit.go
@@ -8,21 +8,22 @@
 	"pearlanding/internal/objectapi"
 )
 
-// ErrUnchanged: the change function found nothing to write.
+// ErrUnchanged: the change function had nothing to write.
 const ErrUnchanged = errors.ConstError("revision: nothing to change")
 
-// maxTries bounds how often a lost race is run again.
-const maxTries = 20
+// maxCommitTries limits the attempts of one Commit.
+const maxCommitTries = 20
 
-// Commit applies change to the current head by conditional update until it is
-// written, and returns the head that stands. change is called anew with the
-// current head after every lost race or lost answer; it must recognise its own
-// earlier success and return ErrUnchanged then. An ErrUnknownOutcome from here
-// means that the platform could not even be read back.
+// Commit applies change to the current head by a conditional update and returns the head
+// in force and its version. After a version conflict or a lost answer it calls change
+// again with the current head; change must recognise that its earlier write succeeded and
+// return ErrUnchanged then. Errors of change are returned unwrapped, with the current head.
+// ErrUnknownOutcome means that a write may have been applied and could not be confirmed by
+// reading the head back.
 func Commit(ctx context.Context, store objectapi.Store, change func(Head) (Head, error)) (Head, uint64, error) {
 	var err error
 	written := false
-	for range maxTries {
+	for range maxCommitTries {
 		var head Head
 		var version uint64
 		head, version, err = Read(ctx, store)
@@ -48,8 +49,8 @@
 	return Head{}, 0, errors.Trace(err)
 }
 
-// Read returns the current head; of an empty platform, an empty head at version
-// 0 with ErrNotFound.
+// Read returns the current head and its version. On an empty platform it returns an empty
+// head, version 0 and ErrNotFound.
 func Read(ctx context.Context, store objectapi.Store) (Head, uint64, error) {
 	obj, err := store.Get(ctx, Key)
 	if err != nil {
--- a/internal/revision/head.go
+++ b/internal/revision/head.go
@@ -1,17 +1,17 @@
 // Package revision decides when a configuration change is in force everywhere.
 //
-// One platform object, the head, holds the configuration, its revision and the
-// registry of daemons. A change is one conditional update of the head. It is
-// accepted once no daemon can still admit requests under an older revision:
+// One platform object, the head, holds the configuration, its revision and the registry
+// of daemons. A change is one conditional update of the head. It is accepted once no
+// daemon can still admit requests under an older revision:
 //
-//   - every registered daemon has acknowledged it or refuses connections, that
-//     is, its process is gone; or
-//   - a majority has, and lived on for the fence time, in which the others must
-//     have lost their admission lease or learned the revision.
+//   - every registered daemon has acknowledged it or refuses connections, which means
+//     that its process is gone; or
+//   - a majority has acknowledged it and kept running for the fence time, in which the
+//     other daemons have either lost their admission lease or learned the revision.
 //
-// A daemon admits requests only while its lease holds (see Lease). Quorums are
-// counted over two registries, the one of the last accepted revision and the
-// current one, so that the registry changes under the same rule.
+// A daemon admits requests only while its lease is valid (see Lease). A quorum is a
+// majority of two registries, that of the last accepted revision and the current one, so
+// that changes of the registry follow the same rule.
 package revision
 
 import (
@@ -27,9 +27,9 @@
 // Key is the platform key of the head object.
 const Key = "config/head"
 
-// Member is one registered daemon. Its slot (the daemon's name) outlives
-// restarts; a restarted daemon takes the slot over by a conditional update and
-// so knows the current revision before it counts.
+// Member is one registered daemon. Its slot is the daemon's name and survives restarts: a
+// restarted daemon takes the slot over by a conditional update of the head, so it has the
+// current revision before it counts in a quorum.
 type Member struct {
 	Incarnation string `json:"incarnation"`
 	Peer        string `json:"peer"`     // IP:port of the peers' listener
@@ -38,8 +38,8 @@
 	Domain      string `json:"domain"`
 }
 
-// Change is one change that was written, kept so that an editor whose answer
-// was lost can ask for it.
+// Change is a written change. It is kept so that an operator whose answer was lost can ask
+// for the result.
 type Change struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"revision"`
@@ -52,23 +52,23 @@
 	Accepted uint64            `json:"accepted"`
 	Doc      catalog.Doc       `json:"doc"`
 	Members  map[string]Member `json:"members"`
-	// Base is the registry of the accepted revision, by slot.
-	Base []string `json:"base"`
-	// Fenced are slots removed since the accepted revision whose daemons may
-	// still run: acceptance must wait until their leases have surely ended.
+	// AcceptedSlots is the registry of the accepted revision, by slot.
+	AcceptedSlots []string `json:"base"`
+	// Fenced lists the slots removed since the accepted revision whose daemons may still
+	// run. The next revision is accepted only once their leases have ended.
 	Fenced  []string `json:"fenced,omitempty"`
 	Changes []Change `json:"changes"`
 }
 
-// keptChanges is how many changes stay askable.
-const keptChanges = 64
+// maxChanges is how many changes a head keeps.
+const maxChanges = 64
 
-// NewHead returns the head of an empty system.
+// NewHead returns the head of an empty platform.
 func NewHead() Head {
 	return Head{Doc: catalog.NewDoc(), Members: map[string]Member{}}
 }
 
-// Decode reads a head from its stored form.
+// Decode decodes a head from its stored JSON form.
 func Decode(value []byte) (Head, error) {
 	h := NewHead()
 	if err := json.Unmarshal(value, &h); err != nil {
@@ -77,7 +77,7 @@
 	return h, nil
 }
 
-// Encode writes the stored form.
+// Encode returns the stored JSON form.
 func (h Head) Encode() ([]byte, error) {
 	data, err := json.Marshal(h)
 	return data, errors.Trace(err)
@@ -89,8 +89,8 @@
 	change.Revision = h.Revision
 	h.Doc = doc
 	h.Changes = append(slices.Clone(h.Changes), change)
-	if len(h.Changes) > keptChanges {
-		h.Changes = h.Changes[len(h.Changes)-keptChanges:]
+	if len(h.Changes) > maxChanges {
+		h.Changes = h.Changes[len(h.Changes)-maxChanges:]
 	}
 	return h
 }
@@ -101,16 +101,16 @@
 	h.Members[slot] = m
 	h.Revision++
 	if h.Accepted == 0 {
-		// The first daemon founds the system: nobody can hold anything older.
-		h.Base = []string{slot}
+		// First daemon of the system: no daemon can hold an older revision.
+		h.AcceptedSlots = []string{slot}
 		h.Accepted = h.Revision
 	}
 	return h
 }
 
-// WithoutMember returns the head after a slot was given up. stopped says that
-// the slot's daemon has stopped admitting for good, by its own or an operator's
-// word; otherwise it may still run and is fenced by time.
+// WithoutMember returns the head after a slot was removed. stopped is true if the slot's
+// daemon has stopped admitting for good, as reported by itself or by an operator. Otherwise
+// it may still run, and the slot is fenced.
 func (h Head) WithoutMember(slot string, stopped bool) Head {
 	h.Members = cloneMembers(h.Members)
 	delete(h.Members, slot)
@@ -122,15 +122,15 @@
 	return h
 }
 
-// WithAccepted records that the head's own revision was accepted.
+// WithAccepted returns the head with its own revision marked as accepted.
 func (h Head) WithAccepted() Head {
 	h.Accepted = h.Revision
-	h.Base = h.Slots()
+	h.AcceptedSlots = h.Slots()
 	h.Fenced = nil
 	return h
 }
 
-// Slots lists the registered slots in order.
+// Slots returns the registered slots, sorted.
 func (h Head) Slots() []string {
 	out := make([]string, 0, len(h.Members))
 	for slot := range h.Members {
@@ -140,7 +140,7 @@
 	return out
 }
 
-// Find returns a kept change by its id.
+// Find returns the change with an id, if the head still keeps it.
 func (h Head) Find(id string) (Change, bool) {
 	for _, c := range h.Changes {
 		if c.ID == id {
@@ -158,10 +158,10 @@
 	return out
 }
 
-// quorum tells whether the slots that satisfy has are a strict majority of both
+// quorum reports whether the slots for which has is true form a strict majority of both
 // registries of the head.
 func (h Head) quorum(has func(slot string) bool) bool {
-	return majority(h.Base, has) && majority(h.Slots(), has)
+	return majority(h.AcceptedSlots, has) && majority(h.Slots(), has)
 }
 
 func majority(slots []string, has func(string) bool) bool {
--- a/internal/revision/lease.go
+++ b/internal/revision/lease.go
@@ -5,56 +5,55 @@
 	"time"
 )
 
-// Hearing is the last a daemon heard from one peer. Times are on the daemon's
-// own monotonic clock and are those of the moment the question was sent, so the
-// answer is at least that fresh.
+// Hearing is a daemon's last contact with one peer. Times are read from the daemon's own
+// monotonic clock when the call was sent, so the answer is at least that recent.
 type Hearing struct {
 	Incarnation string
-	Revision    uint64    // the peer had applied this revision
-	At          time.Time // zero: never heard
-	Refused     time.Time // last time its address refused a connection
+	Revision    uint64    // revision that the peer had applied
+	At          time.Time // last call that was answered; zero: none
+	Refused     time.Time // last call whose connection was refused
 }
 
-// stopped tells whether the last try to reach the peer found no process.
-func (h Hearing) stopped() bool { return h.Refused.After(h.At) }
+// processGone reports whether the last attempt to reach the peer found no process.
+func (h Hearing) processGone() bool { return h.Refused.After(h.At) }
 
-// Lease is a daemon's right to admit requests under its revision. The zero
-// value holds nothing.
+// Lease is a daemon's right to admit requests under its revision. The zero value has
+// expired. Not safe for concurrent use.
 type Lease struct {
-	platformAsOf time.Time
-	validUntil   time.Time
+	platformReadAt time.Time
+	validUntil     time.Time
 }
 
-// PlatformRead notes that the platform's head, as of that moment, was no newer
-// than the revision this daemon has applied. It may come from a peer, as an age.
+// PlatformRead records that the platform's head at time asOf was no newer than the revision
+// that this daemon has applied. The read may be a peer's, received as an age.
 func (l *Lease) PlatformRead(asOf time.Time) {
-	if asOf.After(l.platformAsOf) {
-		l.platformAsOf = asOf
+	if asOf.After(l.platformReadAt) {
+		l.platformReadAt = asOf
 	}
 }
 
-// PlatformAsOf returns the moment of the freshest platform evidence.
-func (l *Lease) PlatformAsOf() time.Time { return l.platformAsOf }
+// PlatformAsOf returns the latest time given to PlatformRead.
+func (l *Lease) PlatformAsOf() time.Time { return l.platformReadAt }
 
 // ValidUntil returns when the lease ends.
 func (l *Lease) ValidUntil() time.Time { return l.validUntil }
 
-// Renew extends the lease from what is known at now. term is the admission
-// lease. Evidence, any of:
+// Renew extends the lease by the evidence known at now. The lease then ends term (the
+// length of the admission lease) after the oldest evidence used. Any of these suffices:
 //
-//   - platform: the head was read, by this daemon or a peer;
-//   - majority: a majority of both registries was heard, none of it ahead;
-//   - accounted: every registered peer was heard or refuses connections; this
-//     only extends a lease that still holds and never starts one.
-func (l *Lease) Renew(now time.Time, term time.Duration, head Head, self string, heard map[string]Hearing) {
-	l.extend(l.platformAsOf.Add(term), !l.platformAsOf.IsZero())
+//   - platform: this daemon or a peer read the head;
+//   - majority: a majority of both registries answered, none of them at a newer revision;
+//   - accounted: every registered peer answered or refused the connection. This only
+//     extends a valid lease and never starts one.
+func (l *Lease) Renew(now time.Time, term time.Duration, head Head, self string, contacts map[string]Hearing) {
+	l.extend(l.platformReadAt.Add(term), !l.platformReadAt.IsZero())
 	since := now.Add(-term)
 	oldest := now
 	fresh := func(slot string) bool {
 		if slot == self {
 			return true
 		}
-		h := heard[slot]
+		h := contacts[slot]
 		if h.At.Before(since) || h.At.IsZero() || h.Revision > head.Revision {
 			return false
 		}
@@ -67,7 +66,7 @@
 		l.extend(oldest.Add(term), true)
 		return
 	}
-	if now.Before(l.validUntil) && accountedFor(head, self, heard, since, &oldest) {
+	if now.Before(l.validUntil) && allAccountedFor(head, self, contacts, since, &oldest) {
 		l.extend(oldest.Add(term), true)
 	}
 }
@@ -78,16 +77,16 @@
 	}
 }
 
-// accountedFor tells whether every other daemon that could take part in accepting
-// a newer revision was heard or refused a connection since the given time; oldest
-// is lowered to the oldest of these. Slots of the base and fenced ones that are no
-// longer registered can't be reached, so with any of them nothing is known.
-func accountedFor(head Head, self string, heard map[string]Hearing, since time.Time, oldest *time.Time) bool {
-	for _, slot := range slices.Concat(head.Slots(), head.Base, head.Fenced) {
+// allAccountedFor reports whether every other daemon that could take part in accepting a
+// newer revision answered or refused a connection since the given time, and lowers oldest
+// to the oldest of these contacts. A slot of AcceptedSlots or Fenced that is no longer
+// registered can't be reached; with any such slot the result is false.
+func allAccountedFor(head Head, self string, contacts map[string]Hearing, since time.Time, oldest *time.Time) bool {
+	for _, slot := range slices.Concat(head.Slots(), head.AcceptedSlots, head.Fenced) {
 		if slot == self {
 			continue
 		}
-		h := heard[slot]
+		h := contacts[slot]
 		last := h.At
 		if h.Refused.After(last) {
 			last = h.Refused
@@ -102,5 +101,5 @@
 	return true
 }
 
-// Holds tells whether requests may be admitted at now.
+// Holds reports whether requests may be admitted at now.
 func (l *Lease) Holds(now time.Time) bool { return now.Before(l.validUntil) }
