--- a/internal/rpc/listener.go
+++ b/internal/rpc/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// closingListener is a listener whose accepted connections end with it.
+// closingListener is a listener that can close the connections it accepted, see closeAll.
 type closingListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -13,7 +13,7 @@
 	closed bool
 }
 
-// acceptedConn is a connection that its listener closes, unless it is closed before.
+// acceptedConn is an accepted connection. Close removes it from its listener.
 type acceptedConn struct {
 	net.Conn
 	listener *closingListener
@@ -33,15 +33,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		_ = c.Close() // nobody has written to it
+		_ = c.Close() // unused, so the error means nothing
 		return nil, net.ErrClosed
 	}
 	l.conns[accepted] = true
 	return accepted, nil
 }
 
-// closeAll closes the listener and all connections that it accepted. Their errors tell nothing:
-// each may have ended already.
+// closeAll closes the listener and all connections that it accepted. It ignores the errors:
+// each of them may be closed already.
 func (l *closingListener) closeAll() {
 	_ = l.Listener.Close()
 	l.mu.Lock()
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc carries JSON-RPC calls between daemons over TCP: a server over one
-// listener, and one connection to each peer.
+// Package rpc implements JSON-RPC calls between daemons over TCP: a server on one listener,
+// and a client with one connection to each peer.
 package rpc
 
 import (
@@ -18,33 +18,33 @@
 	"pearlanding/internal/link"
 )
 
-// ErrRefused: the peer's address refused the connection; no process listens
-// there. Any other error leaves open what became of the call.
+// ErrRefused: the peer's address refused the connection, so no process listens there. After
+// any other error of Call, the call may have been executed.
 const ErrRefused = errors.ConstError("rpc: connection refused")
 
-// errListenerEnded: the listener was closed while it was still needed.
-const errListenerEnded = errors.ConstError("rpc: the peers' listener closed")
+// errListenerClosed: the listener was closed before ctx ended.
+const errListenerClosed = errors.ConstError("rpc: the peers' listener closed")
 
-// callsAtOnce bounds the calls of one connection that are worked on at a time.
-const callsAtOnce = 8
+// concurrentCalls limits the calls of one connection that are executed at a time.
+const concurrentCalls = 8
 
-// Serve answers peers by the methods on the listener until ctx ends. It always
-// returns an error if it ends earlier: a daemon that no peer can reach must not go
-// on as if all were well.
+// Serve serves methods to peers on the listener until ctx ends, then closes all connections
+// and returns nil. If it ends earlier it always returns an error, so that a daemon that no
+// peer can reach does not keep running.
 func Serve(ctx context.Context, listener net.Listener, methods handler.Map) error {
 	peers := newClosingListener(listener)
 	defer context.AfterFunc(ctx, peers.closeAll)()
 	accept := server.NetAccepter(peers, channel.Line)
-	// Not stopped by ctx but by the ends of its connections: a jrpc2 server that is stopped while
-	// it reads a request panics.
+	// closeAll stops the loop, not ctx: a jrpc2 server that is stopped while it reads a request
+	// panics.
 	err := server.Loop(context.WithoutCancel(ctx), accept, server.Static(methods), &server.LoopOptions{
-		ServerOptions: &jrpc2.ServerOptions{Concurrency: callsAtOnce},
+		ServerOptions: &jrpc2.ServerOptions{Concurrency: concurrentCalls},
 	})
 	if ctx.Err() != nil {
 		return nil
 	}
-	if err == nil { // the library takes a closed listener for a planned end
-		err = errListenerEnded
+	if err == nil { // the library returns nil if the listener was closed
+		err = errListenerClosed
 	}
 	return errors.Trace(err)
 }
@@ -58,13 +58,14 @@
 	clients map[string]*jrpc2.Client
 }
 
-// NewPeers returns an empty set whose calls take at most timeout.
+// NewPeers returns a client without connections. Each call takes at most timeout.
 func NewPeers(timeout time.Duration) *Peers {
 	return &Peers{Dial: link.Dialer(0).DialContext, timeout: timeout, clients: map[string]*jrpc2.Client{}}
 }
 
-// Call makes one call to the peer at address. A failed call closes the
-// connection, so a late answer can never be taken for another call's.
+// Call makes one call to the peer at address, connecting first if necessary. It returns
+// ErrRefused if the connection was refused. A call that fails without an answer of the peer
+// closes the connection, so that a late answer is never taken for another call's.
 func (p *Peers) Call(ctx context.Context, address, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
@@ -116,7 +117,7 @@
 	go client.Close()
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Peers) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rpc/stop_test.go
+++ b/internal/rpc/stop_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a process that panics as it stops: a server that is stopped while it reads a
-// request sends on a closed channel.
+// Guards against a panic at shutdown: a jrpc2 server that is stopped while it reads a request
+// sends on a closed channel.
 func TestServeEndsWhilePeersCall(t *testing.T) {
 	methods := handler.Map{"echo": handler.New(func(_ context.Context, n []int) (int, error) { return len(n), nil })}
 	for range 150 {
@@ -41,8 +41,9 @@
 	}
 }
 
-// Guards against a stop that waits for calls which are held.
-func TestServeEndsThoughACallIsHeld(t *testing.T) {
+// Guards against a shutdown that waits for calls in progress: Serve must end although a method
+// has not returned.
+func TestServeEndsWhileACallIsInProgress(t *testing.T) {
 	began := make(chan bool, 1)
 	methods := handler.Map{"hold": handler.New(func(ctx context.Context) (bool, error) {
 		began <- true
@@ -63,6 +64,6 @@
 	case err := <-ended:
 		must.NoError(t, err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server waits for the call")
+		t.Fatal("Serve waits for the call in progress")
 	}
 }
