--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -14,8 +14,8 @@
 	"github.com/juju/errors"
 )
 
-// Client speaks the object API over HTTP. It never retries: a retry of a write
-// whose outcome is unknown is the caller's decision after a read back.
+// Client implements Store over HTTP. It never retries: after a write with an unknown outcome
+// the caller must read the object back before it decides whether to retry.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -23,7 +23,7 @@
 }
 
 // NewClient returns a client for the platform at base, for example
-// "http://10.0.0.1:7000". timeout bounds each call but not a watch's wait.
+// "http://10.0.0.1:7000". timeout limits each call; a watch may wait longer.
 func NewClient(base string, timeout time.Duration) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 32,
@@ -47,14 +47,14 @@
 	return out, err
 }
 
-// watchWait is how long the platform may hold a watch open.
-const watchWait = 20 * time.Second
+// maxWatchWait is how long the platform may hold a watch open without an event.
+const maxWatchWait = 20 * time.Second
 
 // Watch implements Store.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64) ([]Object, error) {
 	query := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(after, 10)}}
 	var out []Object
-	err := c.read(ctx, watchWait+c.timeout, "/v1/watch?"+query.Encode(), &out)
+	err := c.read(ctx, maxWatchWait+c.timeout, "/v1/watch?"+query.Encode(), &out)
 	return out, err
 }
 
@@ -97,7 +97,7 @@
 		return err
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return errors.WithType(errors.Annotate(err, "platform read cut short"), ErrUnavailable)
+		return errors.WithType(errors.Annotate(err, "incomplete answer to a platform read"), ErrUnavailable)
 	}
 	return nil
 }
@@ -117,12 +117,12 @@
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	// Without GetBody the transport can't replay the body on another connection.
+	// Without GetBody the transport can't resend the body on another connection.
 	req.GetBody = nil
 	req.Header.Set(condition, expect)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, errors.WithType(errors.Annotate(err, "platform write"), sendError(err))
+		return 0, errors.WithType(errors.Annotate(err, "platform write"), classifySendError(err))
 	}
 	defer resp.Body.Close()
 	if err := statusError(resp.StatusCode, ErrUnknownOutcome); err != nil {
@@ -130,13 +130,14 @@
 	}
 	var result writeResult
 	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxValueBytes)).Decode(&result); err != nil {
-		return 0, errors.WithType(errors.Annotate(err, "platform write answer cut short"), ErrUnknownOutcome)
+		return 0, errors.WithType(errors.Annotate(err, "incomplete answer to a platform write"), ErrUnknownOutcome)
 	}
 	return result.Version, nil
 }
 
-// sendError tells a write that never left from one whose answer is missing.
-func sendError(err error) errors.ConstError {
+// classifySendError returns ErrUnavailable if the write was not sent, ErrUnknownOutcome if
+// its answer is missing.
+func classifySendError(err error) errors.ConstError {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnavailable
@@ -144,7 +145,7 @@
 	return ErrUnknownOutcome
 }
 
-// statusError maps an HTTP status; other is used for an unexpected one.
+// statusError returns the error for an HTTP status; other stands for an unexpected status.
 func statusError(status int, other errors.ConstError) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
--- a/internal/objectapi/client_test.go
+++ b/internal/objectapi/client_test.go
@@ -13,9 +13,9 @@
 	"pearlanding/internal/standin/platformfake"
 )
 
-// TestClientTellsWhatBecameOfAWrite: refused, conflict, lost and unreachable are
-// told apart, since each asks for another next step.
-func TestClientTellsWhatBecameOfAWrite(t *testing.T) {
+// TestClientDistinguishesWriteOutcomes guards against a client that mixes up a refused write,
+// a conflict, a lost answer and an unreachable platform: each calls for another next step.
+func TestClientDistinguishesWriteOutcomes(t *testing.T) {
 	store := platformfake.New(0, 0)
 	srv := httptest.NewServer(store.Handler())
 	client := objectapi.NewClient(srv.URL, time.Second)
@@ -52,8 +52,8 @@
 	must.NoError(t, err)
 	must.SliceEmpty(t, list)
 
-	// A fresh client has no idle connection: on one that the server had closed, the
-	// outcome would truly be unknown.
+	// A new client has no idle connection. On an idle connection that the server has closed,
+	// the outcome would really be unknown.
 	srv.Close()
 	_, err = objectapi.NewClient(srv.URL, time.Second).Create(ctx, "a/c", []byte(`{}`))
 	must.ErrorIs(t, err, objectapi.ErrUnavailable)
--- a/internal/objectapi/counting.go
+++ b/internal/objectapi/counting.go
@@ -7,8 +7,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counted wraps a store so that every call is counted by kind in the metric
-// pearlanding_platform_calls_total{kind}. A waiting watch counts as one call.
+// Counted returns a store that counts every call by kind in the metric
+// pearlanding_platform_calls_total{kind}. A watch counts as one call.
 func Counted(inner Store, set *metrics.Set) Store {
 	counter := func(kind string) *metrics.Counter {
 		return set.GetOrCreateCounter(fmt.Sprintf(`pearlanding_platform_calls_total{kind=%q}`, kind))
--- a/internal/objectapi/objectapi.go
+++ b/internal/objectapi/objectapi.go
@@ -1,9 +1,9 @@
-// Package objectapi is the client side of the platform's object API: versioned
-// objects with conditional updates and watches, and the lagging list of VMs.
+// Package objectapi is the client side of the platform's object API: versioned objects with
+// conditional updates and watches, and a list of VMs that may be out of date.
 //
-// Guarantees this package relies on: a Get returns the current object; a write
-// with a version is applied only when that version is still current; versions
-// only grow. List, Watch and VMs may lag.
+// The package relies on these guarantees: Get returns the current object; a write with a
+// version is applied only if that version is still current; versions only grow. List, Watch
+// and VMs may lag.
 package objectapi
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// MaxValueBytes is the largest value the platform holds.
+// MaxValueBytes is the largest value that the platform stores.
 const MaxValueBytes = 1 << 20
 
 // Errors of the object API. Compare with errors.Is.
@@ -26,25 +26,24 @@
 	// ErrUnavailable: the platform could not be reached or refused the call;
 	// nothing was applied.
 	ErrUnavailable = errors.ConstError("objectapi: unavailable")
-	// ErrUnknownOutcome: the write was sent and no whole answer came back; it
-	// may have been applied. Read back before anything else.
+	// ErrUnknownOutcome: the write was sent and no complete answer arrived; it may have been
+	// applied. Read the object back before retrying.
 	ErrUnknownOutcome = errors.ConstError("objectapi: outcome unknown")
 	// ErrTooLarge: the value exceeds MaxValueBytes; nothing was applied.
 	ErrTooLarge = errors.ConstError("objectapi: value too large")
 )
 
-// Object is one versioned value. Version is the platform-wide revision of its
-// last write.
+// Object is one versioned value. Version is the platform-wide revision of its last write.
 type Object struct {
 	Key     string          `json:"key"`
 	Version uint64          `json:"version"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// VMState is what the platform's list says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
-// States of a VM in the platform's list.
+// States of a VM. A leaving VM is about to be removed.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
@@ -60,11 +59,12 @@
 	State        VMState `json:"state"`
 }
 
-// Store is the object API. All methods are safe for concurrent use.
+// Store is the object API. All methods are safe for concurrent use. Their errors are those
+// of this package, see ErrNotFound and the others.
 type Store interface {
 	// Get returns the current object or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
-	// List returns the objects below prefix in key order; it may lag.
+	// List returns the objects whose key has the prefix, in key order; it may lag.
 	List(ctx context.Context, prefix string) ([]Object, error)
 	// Create writes an object that must not exist and returns its version.
 	Create(ctx context.Context, key string, value []byte) (uint64, error)
@@ -72,9 +72,9 @@
 	Update(ctx context.Context, key string, version uint64, value []byte) (uint64, error)
 	// Delete removes the object if version is current.
 	Delete(ctx context.Context, key string, version uint64) error
-	// Watch waits until an object below prefix has a version above after, or
-	// until the platform ends the wait, and returns those objects.
+	// Watch waits until an object whose key has the prefix has a version above after, and
+	// returns these objects. It returns none if the platform ends the wait first.
 	Watch(ctx context.Context, prefix string, after uint64) ([]Object, error)
-	// VMs returns the lagging list of the VMs of a fabric domain; "" means all.
+	// VMs returns the VMs of a fabric domain, or of all domains if it is ""; it may lag.
 	VMs(ctx context.Context, domain string) ([]VM, error)
 }
