--- a/cmd/faultrun/main.go
+++ b/cmd/faultrun/main.go
@@ -1,5 +1,5 @@
-// Command faultrun makes long fault runs over separate processes, one for each
-// seed, and exits 1 if any promise was broken.
+// Command faultrun runs the system as separate processes under injected faults, once for
+// each seed. It exits 1 if a run finds a broken promise.
 package main
 
 import (
@@ -15,13 +15,13 @@
 )
 
 func main() {
-	app := kingpin.New("faultrun", "Seeded fault runs over separate processes.")
+	app := kingpin.New("faultrun", "Run the system as separate processes under a seeded schedule of faults.")
 	binary := app.Flag("binary", "The pearlanding binary.").Required().ExistingFile()
-	dir := app.Flag("dir", "Folder for settings and logs.").Required().ExistingDir()
+	dir := app.Flag("dir", "Directory for settings and logs.").Required().ExistingDir()
 	first := app.Flag("seed", "First seed.").Default("1").Uint64()
-	seeds := app.Flag("seeds", "How many seeds.").Default("1").Uint64()
-	duration := app.Flag("duration", "How long faults are injected, for each seed.").Default("60s").Duration()
-	daemons := app.Flag("daemons", "How many daemons.").Default("3").Int()
+	seeds := app.Flag("seeds", "Number of seeds.").Default("1").Uint64()
+	duration := app.Flag("duration", "Time during which faults are injected, for each seed.").Default("60s").Duration()
+	daemons := app.Flag("daemons", "Number of daemons.").Default("3").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/cmd/pearlanding/account.go
+++ b/cmd/pearlanding/account.go
@@ -11,13 +11,13 @@
 )
 
 func addAccount(app *kingpin.Application, run action) {
-	cmd := app.Command("account", "Tell from saved log files of all daemons what made requests late or lost: by cause, kind and second.")
-	asJSON := cmd.Flag("json", "Print JSON, with all seconds.").Bool()
+	cmd := app.Command("account", "Summarise from the saved log files of all daemons why requests were late or lost, by cause, kind and second.")
+	asJSON := cmd.Flag("json", "Print JSON that includes every second.").Bool()
 	files := cmd.Arg("file", "Log files.").Required().ExistingFiles()
-	cmd.Action(run(func(context.Context) int { return tellAccount(*files, *asJSON) }))
+	cmd.Action(run(func(context.Context) int { return printAccount(*files, *asJSON) }))
 }
 
-func tellAccount(files []string, asJSON bool) int {
+func printAccount(files []string, asJSON bool) int {
 	lines, err := readLogs(files)
 	if err != nil {
 		return fail(err)
--- a/cmd/pearlanding/dev.go
+++ b/cmd/pearlanding/dev.go
@@ -16,14 +16,14 @@
 )
 
 func addDev(app *kingpin.Application, run action) {
-	cmd := app.Command("dev", "Platform, engines, service and one daemon in one process on loopback.")
-	once := cmd.Flag("once", "Send one streamed model request and one at-most-once call, print both answers and end.").Bool()
+	cmd := app.Command("dev", "Run a stand-in platform, engines and service and one daemon in one process on loopback.")
+	once := cmd.Flag("once", "Send one streamed model request and one at-most-once call, print both answers and exit.").Bool()
 	level := cmd.Flag("log", "Log level.").Default("warn").Enum("debug", "info", "warn", "error")
 	cmd.Action(run(func(ctx context.Context) int { return dev(ctx, *once, *level) }))
 }
 
-// devStart bounds how long the embedded system may take to serve.
-const devStart = 30 * time.Second
+// devStartTimeout is the longest that the embedded system may take until it serves.
+const devStartTimeout = 30 * time.Second
 
 func dev(ctx context.Context, once bool, level string) int {
 	log, err := newLogger(level)
@@ -36,10 +36,10 @@
 	if err != nil {
 		return fail(err)
 	}
-	waitCtx, stopWaiting := context.WithTimeout(ctx, devStart)
+	waitCtx, stopWaiting := context.WithTimeout(ctx, devStartTimeout)
 	defer stopWaiting()
 	if err := system.WaitServing(waitCtx); err != nil {
-		return fail(errors.Annotate(err, "the embedded system did not begin to serve"))
+		return fail(errors.Annotate(err, "the embedded system did not start serving"))
 	}
 	callers := system.Daemons[0].Settings.Listen.Callers
 	if once {
@@ -52,12 +52,13 @@
 	return exitOK
 }
 
-// devOnce sends both kinds of request through the whole path.
+// devOnce sends a model request and an at-most-once call through the daemon and checks that
+// both answers are complete.
 func devOnce(ctx context.Context, callers string) int {
 	chat, err := post(ctx, "http://"+callers+"/v1/chat/completions", embedded.ChatBody, nil)
 	fmt.Println(chat)
 	if err == nil && !strings.Contains(chat, "data: [DONE]") {
-		err = errors.New("the streamed answer is not whole")
+		err = errors.New("the streamed answer is incomplete")
 	}
 	if err != nil {
 		return fail(err)
@@ -66,7 +67,7 @@
 		map[string]string{"Idempotency-Key": "crew-call-1", "Pearlanding-Repeat": "never"})
 	fmt.Println(call)
 	if err == nil && !strings.Contains(call, `"run":1`) {
-		err = errors.New("the service's answer is not whole")
+		err = errors.New("the service's answer is incomplete")
 	}
 	if err != nil {
 		return fail(err)
--- a/cmd/pearlanding/front.go
+++ b/cmd/pearlanding/front.go
@@ -18,20 +18,20 @@
 	"pearlanding/platform"
 )
 
-// Figures of the front command.
+// Time limits of the front command.
 const (
-	// settingsPoll is how often the settings file is looked at: it may change
-	// without a signal.
-	settingsPoll = time.Second
-	// logCloseWait bounds the writing of the last log lines.
-	logCloseWait = 200 * time.Millisecond
+	// settingsPollInterval is how often the settings file is checked for a change, as it may
+	// change without a signal.
+	settingsPollInterval = time.Second
+	// logCloseTimeout limits the writing of the last log lines at exit.
+	logCloseTimeout = 200 * time.Millisecond
 )
 
 func addFront(app *kingpin.Application, run action) {
 	cmd := app.Command("front", "Run one daemon on the users' platform, configured by the platform's settings file.")
 	file := cmd.Flag("settings", "Settings file.").Envar(platform.SettingsEnv).Required().String()
-	metricsAddress := cmd.Flag("metrics", "Address that serves /metrics.").String()
-	level := cmd.Flag("log-level", "debug, info, warn or error.").Default("info").Enum("debug", "info", "warn", "error")
+	metricsAddress := cmd.Flag("metrics", "Address on which /metrics is served.").String()
+	level := cmd.Flag("log-level", "Log level: debug, info, warn or error.").Default("info").Enum("debug", "info", "warn", "error")
 	cmd.Action(run(func(ctx context.Context) int { return runFront(ctx, *file, *metricsAddress, *level) }))
 }
 
@@ -41,7 +41,7 @@
 		return fail(err)
 	}
 	out := decisionlog.NewWriter(os.Stdout)
-	defer out.Close(logCloseWait)
+	defer out.Close(logCloseTimeout)
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return fail(err)
@@ -56,19 +56,19 @@
 		Metrics: set, MetricsAddress: metricsAddress}
 	if err := d.Run(ctx); err != nil {
 		log.Error("ended", zap.Error(err))
-		return exitRefused
+		return exitFailed
 	}
 	return exitOK
 }
 
-// watchSettings takes a changed settings file in, after SIGHUP or without it.
-// Addresses of listeners stay as they were at the start.
+// watchSettings reloads the settings file after SIGHUP or when it has changed. Changed
+// addresses of listeners take effect only after a restart.
 func watchSettings(ctx context.Context, file string, current *atomic.Pointer[front.Settings], log *zap.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	tick := time.NewTicker(settingsPoll)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	changed := modified(file)
+	lastChange := modTime(file)
 	for {
 		signalled := false
 		select {
@@ -78,14 +78,14 @@
 			signalled = true
 		case <-tick.C:
 		}
-		at := modified(file)
-		if !signalled && at.Equal(changed) {
+		at := modTime(file)
+		if !signalled && at.Equal(lastChange) {
 			continue
 		}
-		changed = at
+		lastChange = at
 		s, err := platform.LoadSettings(file)
 		if err != nil {
-			log.Error("settings not reloaded; the last ones stay", zap.Error(err))
+			log.Error("settings not reloaded; the previous settings stay in force", zap.Error(err))
 			continue
 		}
 		current.Store(&s)
@@ -93,7 +93,7 @@
 	}
 }
 
-func modified(file string) time.Time {
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/cmd/pearlanding/main.go
+++ b/cmd/pearlanding/main.go
@@ -1,5 +1,5 @@
-// Command pearlanding is the one binary of the system: the daemon, the
-// operators' commands, the stand-ins and the embedded default.
+// Command pearlanding is the single binary of the system: the daemon, the operators'
+// commands, the stand-ins, and the embedded development system.
 package main
 
 import (
@@ -18,15 +18,15 @@
 // Exit codes, the same for all commands.
 const (
 	exitOK       = 0
-	exitRefused  = 1 // findings, refusal or a failed command; nothing was changed
+	exitFailed   = 1 // findings, a refusal or a failed command; nothing was changed
 	exitUsage    = 2
-	exitConflict = 3 // somebody else was first
-	exitUnknown  = 4 // the outcome is not known; ask with "change get"
+	exitConflict = 3 // another operator changed it first
+	exitUnknown  = 4 // outcome unknown; ask with "change get"
 	exitPending  = 5 // written, not yet in force everywhere
 )
 
 func main() {
-	app := kingpin.New("pearlanding", "Serves large models that span several VMs, in permitted places only.")
+	app := kingpin.New("pearlanding", "Serve large models that span several VMs, in permitted places only.")
 	app.Version(version)
 	app.HelpFlag.Short('h')
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -58,10 +58,10 @@
 	os.Exit(code)
 }
 
-// action turns a command's function into a kingpin action.
+// action returns a kingpin action that runs a command's function and keeps its exit code.
 type action func(f func(context.Context) int) kingpin.Action
 
 func fail(err error) int {
 	fmt.Fprintln(os.Stderr, err)
-	return exitRefused
+	return exitFailed
 }
--- a/cmd/pearlanding/refused.go
+++ b/cmd/pearlanding/refused.go
@@ -17,16 +17,17 @@
 	"pearlanding/platform"
 )
 
-// addRefused adds the commands about requests that are refused as they ended the instances
-// that ran them. They work on the platform's store: no daemon need run.
+// addRefused adds the commands for requests that daemons refuse because such requests
+// crashed the instances that ran them. The commands use the platform's store; no daemon
+// needs to run.
 func addRefused(app *kingpin.Application, run action) {
-	cmd := app.Command("refused", "Requests that daemons send to no instance, as they ended those that ran them.")
+	cmd := app.Command("refused", "Manage requests that daemons refuse because they crashed the instances that ran them.")
 	store := cmd.Flag("store", "Address of the platform's store, IP:port.").Envar("PEARLANDING_STORE").Required().String()
-	list := cmd.Command("list", "List them, and those that one more end would add.")
-	asJSON := list.Flag("json", "Print the store's record as it is.").Bool()
+	list := cmd.Command("list", "List the refused requests, and those that one more crash would add.")
+	asJSON := list.Flag("json", "Print the store's record as JSON.").Bool()
 	list.Action(run(func(ctx context.Context) int { return listRefused(ctx, *store, *asJSON) }))
-	release := cmd.Command("release", "Let one be sent again, such as after instances have a version that can run it.")
-	digest := release.Arg("digest", "Its digest, or the beginning of it.").Required().String()
+	release := cmd.Command("release", "Allow a request to be sent again, for example after instances were upgraded to a version that can run it.")
+	digest := release.Arg("digest", "Digest of the request, or a prefix of it.").Required().String()
 	release.Action(run(func(ctx context.Context) int { return releaseRefused(ctx, *store, *digest) }))
 }
 
@@ -66,10 +67,10 @@
 	d, err := quarantine.Release(ctx, platform.NewStore(store), front.RefusedKey, prefix, time.Now())
 	switch {
 	case errors.Is(err, objectapi.ErrConflict):
-		fmt.Fprintln(os.Stderr, "daemons keep writing; nothing was changed, try again")
+		fmt.Fprintln(os.Stderr, "daemons kept changing the record; nothing was changed, try again")
 		return exitConflict
 	case errors.Is(err, objectapi.ErrUnknownOutcome):
-		fmt.Fprintln(os.Stderr, "the store gave no answer; see with \"refused list\" whether it was released")
+		fmt.Fprintln(os.Stderr, "no answer from the store; check with \"refused list\" whether the request was released")
 		return exitUnknown
 	case err != nil:
 		return fail(err)
--- a/cmd/pearlanding/serve.go
+++ b/cmd/pearlanding/serve.go
@@ -36,30 +36,30 @@
 	listeners, err := daemon.Listen(s.Listen)
 	if err != nil {
 		log.Error("not started", zap.Error(err))
-		return exitRefused
+		return exitFailed
 	}
 	if err := d.Run(ctx, listeners); err != nil {
 		log.Error("stopped", zap.Error(err))
-		return exitRefused
+		return exitFailed
 	}
 	log.Info("stopped cleanly")
 	return exitOK
 }
 
-// newLogger logs to standard error.
+// newLogger returns a logger that writes to standard error.
 func newLogger(level string) (*zap.Logger, error) {
 	return telemetry.Logger(level, zapcore.Lock(os.Stderr))
 }
 
 func addCheck(app *kingpin.Application, run action) {
 	cmd := app.Command("check", "Check settings, templates, workspaces and services; print all findings at once.")
-	files := cmd.Arg("file", "INI files; those of the configuration are checked together.").Required().ExistingFiles()
-	cmd.Action(run(func(context.Context) int { return check(*files) }))
+	files := cmd.Arg("file", "INI files; configuration files are checked together as one configuration.").Required().ExistingFiles()
+	cmd.Action(run(func(context.Context) int { return checkFiles(*files) }))
 }
 
-// check tells a settings file by its [daemon] section; all others are parts of
-// one configuration.
-func check(files []string) int {
+// checkFiles checks settings files, recognised by their [daemon] section, and all other
+// files as parts of one configuration. It prints every finding.
+func checkFiles(files []string) int {
 	var list findings.List
 	edit := catalog.NewEdit()
 	for _, name := range files {
@@ -79,7 +79,7 @@
 		fmt.Println(f)
 	}
 	if !list.Empty() {
-		return exitRefused
+		return exitFailed
 	}
 	fmt.Printf("%d files, no findings\n", len(files))
 	return exitOK
--- a/cmd/pearlanding/standin.go
+++ b/cmd/pearlanding/standin.go
@@ -21,10 +21,10 @@
 }
 
 func addStandinPlatform(cmd *kingpin.CmdClause, run action) {
-	p := cmd.Command("platform", "Object API, VM list and weight store; faults under /fake.")
+	p := cmd.Command("platform", "Run the object API, VM list and weight store; faults are set under /fake.")
 	listen := p.Flag("listen", "IP:port.").Default("127.0.0.1:7000").String()
-	writes := p.Flag("writes", "Writes a second, 0 for no limit.").Default("300").Int()
-	weights := p.Flag("weights-gb", "Gigabytes of weights a second, 0 for no limit.").Default("4").Float64()
+	writes := p.Flag("writes", "Limit of writes per second; 0: none.").Default("300").Int()
+	weights := p.Flag("weights-gb", "Limit of the weight store in gigabytes per second; 0: none.").Default("4").Float64()
 	p.Action(run(func(ctx context.Context) int {
 		listener, err := net.Listen("tcp", *listen)
 		if err != nil {
@@ -39,14 +39,14 @@
 }
 
 func addStandinEngines(cmd *kingpin.CmdClause, run action) {
-	e := cmd.Command("engines", "Engine VMs of one fabric domain; faults under /fake of each.")
+	e := cmd.Command("engines", "Run the engine VMs of one fabric domain; faults are set under /fake of each VM.")
 	var set standin.EngineSet
 	e.Flag("prefix", "VM names are PREFIX1, PREFIX2, ...").Default("vm-").StringVar(&set.Prefix)
-	e.Flag("count", "How many VMs.").Default("4").IntVar(&set.Count)
+	e.Flag("count", "Number of VMs.").Default("4").IntVar(&set.Count)
 	e.Flag("port", "First port.").Default("9100").IntVar(&set.FirstPort)
 	e.Flag("place", "Place.").Default("rio-grande").StringVar(&set.Place)
-	e.Flag("domain", "Fabric domain.").Default("rg-a").StringVar(&set.Domain)
-	e.Flag("slots", "Requests in one batch.").Default("8").IntVar(&set.Slots)
+	e.Flag("domain", "Fabric domain of the VMs.").Default("rg-a").StringVar(&set.Domain)
+	e.Flag("slots", "Requests that one engine runs at a time.").Default("8").IntVar(&set.Slots)
 	e.Flag("token-time", "Time between tokens.").Default("20ms").DurationVar(&set.TokenTime)
 	e.Flag("platform", "URL of the stand-in platform.").Default("http://127.0.0.1:7000").StringVar(&set.Platform)
 	e.Action(run(func(ctx context.Context) int {
@@ -66,7 +66,7 @@
 }
 
 func addStandinService(cmd *kingpin.CmdClause, run action) {
-	s := cmd.Command("service", "Plain service that counts what it ran; faults under /fake.")
+	s := cmd.Command("service", "Run a plain service that counts its runs by idempotency key; faults are set under /fake.")
 	listen := s.Flag("listen", "IP:port.").Default("127.0.0.1:9300").String()
 	name := s.Flag("name", "Name.").Default("app-portuario").String()
 	s.Action(run(func(ctx context.Context) int {
--- a/cmd/pearlanding/trace.go
+++ b/cmd/pearlanding/trace.go
@@ -11,28 +11,28 @@
 )
 
 func addTrace(app *kingpin.Application, run action) {
-	cmd := app.Command("trace", "Tell one request's story from saved log files of one or more daemons: its lines, and what was believed then.")
+	cmd := app.Command("trace", "Print the log lines of one request from the saved log files of one or more daemons, and the state that the daemons knew then.")
 	id := cmd.Arg("id", "Id of the request.").Required().String()
 	files := cmd.Arg("file", "Log files.").Required().ExistingFiles()
-	cmd.Action(run(func(context.Context) int { return trace(*id, *files) }))
+	cmd.Action(run(func(context.Context) int { return printTrace(*id, *files) }))
 }
 
-func trace(id string, files []string) int {
+func printTrace(id string, files []string) int {
 	all, err := readLogs(files)
 	if err != nil {
 		return fail(err)
 	}
-	story := decisionlog.Story(all, id)
-	if len(story) == 0 {
-		return fail(fmt.Errorf("no line of request %s in these files: it was served at the first try and not sampled, or it reached none of these daemons", id))
+	lines := decisionlog.Story(all, id)
+	if len(lines) == 0 {
+		return fail(fmt.Errorf("no line of request %s in these files: it succeeded at the first attempt and was not sampled, or it reached none of these daemons", id))
 	}
-	for _, l := range story {
+	for _, l := range lines {
 		fmt.Println(l)
 	}
 	return exitOK
 }
 
-// readLogs reads the lines of several log files.
+// readLogs returns the lines of several log files, in the order of the files.
 func readLogs(files []string) ([]decisionlog.Line, error) {
 	var all []decisionlog.Line
 	for _, name := range files {
--- a/cmd/platformsoak/main.go
+++ b/cmd/platformsoak/main.go
@@ -1,5 +1,5 @@
-// Command platformsoak makes long soaks of daemons on the users' platform, one for
-// each seed, and exits 1 if any promise was broken.
+// Command platformsoak runs soak tests of daemons on the users' platform, one for each
+// seed. It exits 1 if a run finds a broken promise.
 package main
 
 import (
@@ -15,14 +15,14 @@
 )
 
 func main() {
-	app := kingpin.New("platformsoak", "Seeded soaks of daemons on the users' platform, as separate processes.")
+	app := kingpin.New("platformsoak", "Run seeded soak tests of daemons on the users' platform, as separate processes.")
 	binary := app.Flag("binary", "The pearlanding binary.").Required().ExistingFile()
-	dir := app.Flag("dir", "Folder for settings and logs.").Required().ExistingDir()
+	dir := app.Flag("dir", "Directory for settings and logs.").Required().ExistingDir()
 	first := app.Flag("seed", "First seed.").Default("1").Uint64()
-	seeds := app.Flag("seeds", "How many seeds.").Default("1").Uint64()
-	duration := app.Flag("duration", "How long faults are injected, for each seed.").Default("20s").Duration()
-	daemons := app.Flag("daemons", "How many daemons.").Default("4").Int()
-	callers := app.Flag("callers", "How many callers.").Default("12").Int()
+	seeds := app.Flag("seeds", "Number of seeds.").Default("1").Uint64()
+	duration := app.Flag("duration", "Time during which faults are injected, for each seed.").Default("20s").Duration()
+	daemons := app.Flag("daemons", "Number of daemons.").Default("4").Int()
+	callers := app.Flag("callers", "Number of callers.").Default("12").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
