--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks a daemon's INI settings file. Every key has
-// a default except the names and addresses; docs/operations/settings.md lists
-// them all with their units.
+// Package settings reads and checks a daemon's INI settings file. Every key has a default
+// except names and addresses; docs/operations/settings.md lists all keys with their units.
 package settings
 
 import (
@@ -26,65 +25,66 @@
 	Log       Log
 }
 
-// Daemon says who and where this daemon is.
+// Daemon holds the name and location of this daemon.
 type Daemon struct {
-	Name   string // unique; keeps its slot over restarts
+	Name   string // unique; the name of its slot, which survives restarts
 	Place  string
 	Domain string // failure domain
 }
 
-// Listen holds the three listening addresses, IP:port each.
+// Listen holds the listening addresses, each IP:port.
 type Listen struct {
 	Callers   string
 	Operators string
 	Peers     string
 }
 
-// Platform says where the platform's object API is.
+// Platform holds the URL of the platform's object API and the timeout of each call.
 type Platform struct {
 	URL     string
 	Timeout time.Duration
 }
 
-// Limits bound what callers may ask for.
+// Limits holds the limits on callers' requests.
 type Limits struct {
 	MaxBodyBytes   int
 	MaxHeaderBytes int
-	Deadline       time.Duration // of one request, end to end
-	ReadTimeout    time.Duration // a caller must send its request within
-	WriteTimeout   time.Duration // a caller must take each write within
-	Attempts       int           // upstream tries of one request
-	RetryBudget    float64       // retries allowed per first try
+	Deadline       time.Duration // of one request from arrival to the end of its answer
+	ReadTimeout    time.Duration // longest a caller may take to send its request
+	WriteTimeout   time.Duration // longest a caller may take to receive one write
+	Attempts       int           // most sends of one request to upstreams
+	RetryBudget    float64       // retries allowed per request, as a ratio
 }
 
-// Timing holds the periods and ages of the control protocols.
+// Timing holds the intervals, timeouts and maximum ages of the control protocols.
 type Timing struct {
-	SyncInterval   time.Duration // between exchanges with each peer
+	SyncInterval   time.Duration // between rounds of sync calls to peers
 	ProbeInterval  time.Duration // between probes of each engine
-	EvidenceAge    time.Duration // oldest readiness evidence to dispatch on
-	AdmissionLease time.Duration // oldest evidence that the revision is current
-	OrderTimeout   time.Duration // longest an order to an engine may be in flight
-	DutyLease      time.Duration // oldest proof of holding a domain to order on
-	DrainDeadline  time.Duration // longest a planned stop waits for requests
-	ReportLag      time.Duration // oldest an engine's load report may be
-	ForgetAfter    time.Duration // silent daemons leave the registry after
+	EvidenceAge    time.Duration // oldest evidence of readiness on which a request is dispatched
+	AdmissionLease time.Duration // oldest evidence of a current revision on which requests are admitted
+	OrderTimeout   time.Duration // timeout of an order to an engine
+	DutyLease      time.Duration // oldest proof of holding a domain on which orders are sent
+	DrainDeadline  time.Duration // longest a stopping daemon waits for requests in progress
+	ReportLag      time.Duration // greatest age of the load in an engine's report
+	ForgetAfter    time.Duration // silence after which a daemon is removed from the registry
 }
 
-// Planner weighs the two measures against each other.
+// Planner holds the placement policy. The weights apply to the time that groups are down
+// and to accelerators in no serving group.
 type Planner struct {
 	Policy          string
 	DowntimeWeight  float64
 	StrandedWeight  float64
-	SparesPerDomain int // VMs kept free for repair
+	SparesPerDomain int // VMs kept free to replace failed members
 }
 
-// Routing selects the routing policy.
+// Routing holds the routing policy.
 type Routing struct {
 	Policy string
-	Subset int // replicas considered for one prefix
+	Subset int // replicas considered for one prompt prefix
 }
 
-// Ledger sizes the record of requests that may not be repeated.
+// Ledger holds the limits of the ledger of at-most-once requests.
 type Ledger struct {
 	Shards       int
 	MaxEntries   int // per shard
@@ -92,18 +92,18 @@
 	MaxBodyBytes int // of a recorded answer
 }
 
-// Operators authorises operators by the digest of their token.
+// Operators holds the SHA-256 digests, in hex, of the operators' tokens.
 type Operators struct {
 	ChangeTokenSHA256 string // empty: no token needed (loopback only)
 	ReadTokenSHA256   string
 }
 
-// Log selects the log level.
+// Log holds the log level.
 type Log struct {
 	Level string
 }
 
-// Load reads and checks a settings file; the error holds every finding.
+// Load reads and checks a settings file. The error is a *findings.Error with all findings.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -116,7 +116,8 @@
 	return s, list.Err()
 }
 
-// Parse reads settings from text and reports findings in list.
+// Parse parses and checks settings and adds its findings to list. name stands for the file
+// in findings.
 func Parse(name string, data []byte, list *findings.List) Settings {
 	file := findings.Parse(name, data, list)
 	if file == nil {
@@ -128,15 +129,15 @@
 		return file.Section(name)
 	}
 	s := Settings{
-		Daemon:    daemon(section("daemon")),
-		Listen:    listen(section("listen")),
+		Daemon:    daemonSection(section("daemon")),
+		Listen:    listenSection(section("listen")),
 		Platform:  platformSection(section("platform")),
-		Limits:    limits(section("limits")),
-		Timing:    timing(section("timing")),
-		Planner:   planner(section("planner")),
-		Routing:   routing(section("routing")),
+		Limits:    limitsSection(section("limits")),
+		Timing:    timingSection(section("timing")),
+		Planner:   plannerSection(section("planner")),
+		Routing:   routingSection(section("routing")),
 		Ledger:    ledgerSection(section("ledger")),
-		Operators: operators(section("operators")),
+		Operators: operatorsSection(section("operators")),
 		Log:       logSection(section("log")),
 	}
 	for _, name := range file.INI.SectionStrings() {
@@ -144,21 +145,21 @@
 			file.Add(name, "", "unknown section")
 		}
 	}
-	checkTogether(file, s)
+	checkCombinations(file, s)
 	return s
 }
 
-func daemon(s *findings.Section) Daemon {
+func daemonSection(s *findings.Section) Daemon {
 	defer s.Done()
 	return Daemon{Name: s.Required("name"), Place: s.Required("place"), Domain: s.Required("domain")}
 }
 
-func listen(s *findings.Section) Listen {
+func listenSection(s *findings.Section) Listen {
 	defer s.Done()
 	return Listen{Callers: address(s, "callers"), Operators: address(s, "operators"), Peers: address(s, "peers")}
 }
 
-// address reads an IP:port; names are refused because nothing here resolves them.
+// address reads an IP:port. Host names are refused because nothing here resolves them.
 func address(s *findings.Section, key string) string {
 	v := s.Required(key)
 	if _, err := netip.ParseAddrPort(v); v != "" && err != nil {
@@ -172,7 +173,7 @@
 	return Platform{URL: s.Required("url"), Timeout: s.Duration("timeout", time.Second, 10*time.Millisecond, time.Minute)}
 }
 
-func limits(s *findings.Section) Limits {
+func limitsSection(s *findings.Section) Limits {
 	defer s.Done()
 	return Limits{
 		MaxBodyBytes:   s.Int("max_body_bytes", 4<<20, 1024, 64<<20),
@@ -185,7 +186,7 @@
 	}
 }
 
-func timing(s *findings.Section) Timing {
+func timingSection(s *findings.Section) Timing {
 	defer s.Done()
 	const low, high = 20 * time.Millisecond, time.Hour
 	return Timing{
@@ -201,7 +202,7 @@
 	}
 }
 
-func planner(s *findings.Section) Planner {
+func plannerSection(s *findings.Section) Planner {
 	defer s.Done()
 	return Planner{
 		Policy:          s.OneOf("policy", "repair", "repair", "rebuild"),
@@ -211,7 +212,7 @@
 	}
 }
 
-func routing(s *findings.Section) Routing {
+func routingSection(s *findings.Section) Routing {
 	defer s.Done()
 	return Routing{
 		Policy: s.OneOf("policy", "affinity", "affinity", "random", "round-robin", "least"),
@@ -229,7 +230,7 @@
 	}
 }
 
-func operators(s *findings.Section) Operators {
+func operatorsSection(s *findings.Section) Operators {
 	defer s.Done()
 	return Operators{ChangeTokenSHA256: digest(s, "change_token_sha256"), ReadTokenSHA256: digest(s, "read_token_sha256")}
 }
@@ -247,8 +248,8 @@
 	return Log{Level: s.OneOf("level", "info", "debug", "info", "warn", "error")}
 }
 
-// checkTogether reports keys that are each in range but don't fit each other.
-func checkTogether(file *findings.File, s Settings) {
+// checkCombinations reports values that are each in range but don't fit together.
+func checkCombinations(file *findings.File, s Settings) {
 	if s.Timing.EvidenceAge < 3*s.Timing.ProbeInterval {
 		file.Add("timing", "evidence_age", "must be at least three probe intervals (%s)", 3*s.Timing.ProbeInterval)
 	}
