--- a/cmd/pearlanding/standin.go
+++ b/cmd/pearlanding/standin.go
@@ -55,7 +55,7 @@
 			return fail(err)
 		}
 		for _, vm := range vms {
-			for standin.Enlist(ctx, set.Platform, vm.Row) != nil && ctx.Err() == nil {
+			for standin.RegisterVM(ctx, set.Platform, vm.Row) != nil && ctx.Err() == nil {
 				time.Sleep(200 * time.Millisecond)
 			}
 			fmt.Println("engine", vm.Row.Name, "on", vm.Row.Address)
--- a/internal/embedded/answers_test.go
+++ b/internal/embedded/answers_test.go
@@ -19,7 +19,7 @@
 	s := start(t, Options{Daemons: 2})
 	for _, d := range s.Daemons {
 		r := send(d, chatPath, chat("berth", 12, true))
-		text, whole := enginefake.Streamed(r.body)
+		text, whole := enginefake.JoinStream(r.body)
 		must.True(t, whole)
 		must.Eq(t, answerTo("berth", 12), text)
 		must.Eq(t, Place, r.header.Get("Pearlanding-Place"))
@@ -77,7 +77,7 @@
 
 	engine.SetFaults(enginefake.Faults{CutAfterTokens: 3})
 	r = send(d, chatPath, chat("cut", 9, true))
-	text, whole := enginefake.Streamed(r.body)
+	text, whole := enginefake.JoinStream(r.body)
 	must.False(t, whole)
 	must.Eq(t, answerTo("cut", 3), text)
 	must.Error(t, r.err, must.Sprint("a cut stream must not end as a whole one does"))
@@ -88,7 +88,7 @@
 	must.Eq(t, http.StatusBadGateway, r.status)
 
 	r = send(d, chatPath, chat("cut", 9, true), "Pearlanding-Resume-From", "3")
-	text, whole = enginefake.Streamed(r.body)
+	text, whole = enginefake.JoinStream(r.body)
 	must.True(t, whole)
 	must.Eq(t, strings.TrimPrefix(answerTo("cut", 9), answerTo("cut", 3)), text)
 }
@@ -125,11 +125,11 @@
 	})
 	t.Run("model request", func(t *testing.T) {
 		first := send(s.Daemons[0], chatPath, chat("once", 5, true), "Idempotency-Key", "m1", "Pearlanding-Repeat", "never")
-		_, whole := enginefake.Streamed(first.body)
+		_, whole := enginefake.JoinStream(first.body)
 		must.True(t, whole)
 		again := send(s.Daemons[1], chatPath, chat("once", 5, true), "Idempotency-Key", "m1", "Pearlanding-Repeat", "never")
-		one, _ := enginefake.Streamed(first.body)
-		two, _ := enginefake.Streamed(again.body)
+		one, _ := enginefake.JoinStream(first.body)
+		two, _ := enginefake.JoinStream(again.body)
 		must.Eq(t, one, two)
 		must.Eq(t, "true", again.header.Get("Pearlanding-Replayed"))
 	})
@@ -146,7 +146,7 @@
 		vm.Engine.SetFaults(enginefake.Faults{CutAfterTokens: 5}) // the rest of three is not cut
 	}
 	r := send(s.Daemons[0], chatPath, chat("resume", 8, true))
-	text, whole := enginefake.Streamed(r.body)
+	text, whole := enginefake.JoinStream(r.body)
 	must.True(t, whole, must.Sprint(r.body))
 	must.Eq(t, answerTo("resume", 8), text)
 	judge(t, s)
@@ -164,7 +164,7 @@
 	await(t, s.Daemons[0], "the engine is free again", func(*control.Snapshot) bool { return engine.Status().Running == 0 })
 
 	r = send(s.Daemons[0], chatPath, chat("too long", 1000, true))
-	_, whole := enginefake.Streamed(r.body)
+	_, whole := enginefake.JoinStream(r.body)
 	must.False(t, whole)
 	must.StrContains(t, r.body, string(problem.CodeDeadline))
 }
--- a/internal/embedded/faults_test.go
+++ b/internal/embedded/faults_test.go
@@ -108,7 +108,7 @@
 	r := send(d, chatPath, chat("refused", 2, false))
 	must.True(t, r.status == http.StatusOK || r.problem.Outcome == problem.NotRun)
 	wg.Wait()
-	text, whole := enginefake.Streamed(long.body)
+	text, whole := enginefake.JoinStream(long.body)
 	must.True(t, whole, must.Sprint("a planned stop cut a request", long.err))
 	must.Eq(t, answerTo("long", 200), text)
 	snap := await(t, d, "serving without it", func(snap *control.Snapshot) bool {
@@ -174,7 +174,7 @@
 	d.Done <- nil
 	must.Eq(t, int64(0), d.InFlight(), must.Sprint("ended before its requests had"))
 	wg.Wait()
-	text, whole := enginefake.Streamed(long.body)
+	text, whole := enginefake.JoinStream(long.body)
 	must.True(t, whole)
 	must.Eq(t, answerTo("stop", 150), text)
 }
--- a/internal/embedded/harness_test.go
+++ b/internal/embedded/harness_test.go
@@ -127,7 +127,7 @@
 	t.Helper()
 	for _, vm := range s.VMs {
 		for _, r := range vm.Engine.Served() {
-			must.False(t, r.Partial && r.Whole, must.Sprint("partly assembled group served", vm.Row.Name, r))
+			must.False(t, r.Partial && r.Complete, must.Sprint("partly assembled group served", vm.Row.Name, r))
 		}
 	}
 }
--- a/internal/faultrun/run.go
+++ b/internal/faultrun/run.go
@@ -171,7 +171,7 @@
 		time.Sleep(20 * time.Millisecond)
 		return false
 	}
-	text, done := enginefake.Streamed(string(data))
+	text, done := enginefake.JoinStream(string(data))
 	want := enginefake.Answer("\n"+prompt, tokens)
 	switch {
 	case done && text != want:
@@ -301,7 +301,7 @@
 			r.report.violation("an engine's record could not be read: %v", err)
 		}
 		for _, one := range served {
-			if one.Partial && one.Whole {
+			if one.Partial && one.Complete {
 				r.report.violation("promise 1: group %s epoch %d served partly assembled", one.Group, one.Epoch)
 			}
 		}
--- a/internal/standin/enginefake/answer.go
+++ b/internal/standin/enginefake/answer.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The shapes of the answers are those callers' clients already read.
+// The answers have the widely used JSON format that callers' clients expect.
 type choice struct {
 	Index        int     `json:"index"`
 	Delta        *text   `json:"delta,omitempty"`
@@ -31,8 +31,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// chunk is one streamed part of an answer.
-func chunk(g *generation, token, finish string) []byte {
+// streamChunk returns one event of a streamed answer.
+func streamChunk(g *generateRequest, token, finish string) []byte {
 	c := choice{}
 	if finish != "" {
 		c.FinishReason = &finish
@@ -48,8 +48,8 @@
 	return data
 }
 
-// whole is an answer in one piece.
-func whole(g *generation, content string) []byte {
+// completeAnswer returns an answer that is not streamed.
+func completeAnswer(g *generateRequest, content string) []byte {
 	finish := "length"
 	c := choice{FinishReason: &finish}
 	out := answer{ID: g.id, Model: g.Model, Usage: &usage{Completion: g.MaxTokens - g.from}}
@@ -63,9 +63,9 @@
 	return data
 }
 
-// Streamed joins the tokens of an event stream as a caller's client would, and
-// tells whether the stream ended with its final marker.
-func Streamed(body string) (text string, whole bool) {
+// JoinStream joins the tokens of an event stream as a caller's client does, and reports
+// whether the stream ended with its final marker.
+func JoinStream(body string) (text string, whole bool) {
 	for line := range strings.Lines(body) {
 		data, ok := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !ok {
--- a/internal/standin/enginefake/batch.go
+++ b/internal/standin/enginefake/batch.go
@@ -10,7 +10,7 @@
 	"pearlanding/internal/engine"
 )
 
-// waiter is one request waiting for a slot of the batch.
+// waiter is a request that waits for a slot of the batch.
 type waiter struct {
 	priority int // higher first
 	seq      uint64
@@ -18,36 +18,36 @@
 	index    int
 }
 
-// waitQueue orders waiting requests by priority, then arrival.
-type waitQueue struct {
+// requestQueue is a heap of waiting requests by priority, then arrival.
+type requestQueue struct {
 	items []*waiter
 	seq   uint64
 }
 
-func (q *waitQueue) Len() int { return len(q.items) }
-func (q *waitQueue) Less(i, j int) bool {
+func (q *requestQueue) Len() int { return len(q.items) }
+func (q *requestQueue) Less(i, j int) bool {
 	if q.items[i].priority != q.items[j].priority {
 		return q.items[i].priority > q.items[j].priority
 	}
 	return q.items[i].seq < q.items[j].seq
 }
-func (q *waitQueue) Swap(i, j int) {
+func (q *requestQueue) Swap(i, j int) {
 	q.items[i], q.items[j] = q.items[j], q.items[i]
 	q.items[i].index, q.items[j].index = i, j
 }
-func (q *waitQueue) Push(x any) {
+func (q *requestQueue) Push(x any) {
 	w := x.(*waiter)
 	w.index = len(q.items)
 	q.items = append(q.items, w)
 }
-func (q *waitQueue) Pop() any {
+func (q *requestQueue) Pop() any {
 	last := q.items[len(q.items)-1]
 	q.items = q.items[:len(q.items)-1]
 	last.index = -1
 	return last
 }
 
-// acquire waits for a slot of the batch.
+// acquire waits for a slot of the batch. It returns an error if ctx ends first.
 func (e *Engine) acquire(ctx context.Context, priority int) error {
 	e.mu.Lock()
 	if e.running < e.opts.Slots {
@@ -80,7 +80,7 @@
 	e.releaseLocked()
 }
 
-// releaseLocked hands the slot to the next waiter. Caller holds mu.
+// releaseLocked passes the slot on to the next waiter. The caller holds mu.
 func (e *Engine) releaseLocked() {
 	if e.queue.Len() == 0 {
 		e.running--
@@ -89,17 +89,17 @@
 	close(heap.Pop(&e.queue).(*waiter).granted)
 }
 
-// cacheEntries bounds the prefix cache of one engine.
-const cacheEntries = 64
+// maxCacheEntries is the capacity of an engine's prefix cache.
+const maxCacheEntries = 64
 
-// prefixCache remembers the last prompt prefixes and the events about them.
+// prefixCache holds the most recently used prompt prefixes, and the events about changes.
 type prefixCache struct {
 	order  []uint64
 	events []engine.CacheEvent
 	seq    uint64
 }
 
-// touch notes a prefix as most recent and tells whether it was cached.
+// touch marks a prefix as most recently used and reports whether it was cached.
 func (c *prefixCache) touch(prefix uint64) bool {
 	for i, p := range c.order {
 		if p == prefix {
@@ -108,33 +108,33 @@
 		}
 	}
 	c.order = append(c.order, prefix)
-	c.note(prefix, false)
-	if len(c.order) > cacheEntries {
-		c.note(c.order[0], true)
+	c.publish(prefix, false)
+	if len(c.order) > maxCacheEntries {
+		c.publish(c.order[0], true)
 		c.order = c.order[1:]
 	}
 	return false
 }
 
-// note publishes an event; every seventh is lost, as the real ones are.
-func (c *prefixCache) note(prefix uint64, evicted bool) {
+// publish adds an event. Every seventh one is dropped, because real engines lose events too.
+func (c *prefixCache) publish(prefix uint64, evicted bool) {
 	c.seq++
 	if c.seq%7 == 0 {
 		return
 	}
 	c.events = append(c.events, engine.CacheEvent{Seq: c.seq, Prefix: prefix, Evicted: evicted})
-	if len(c.events) > 4*cacheEntries {
+	if len(c.events) > 4*maxCacheEntries {
 		c.events = c.events[1:]
 	}
 }
 
-// Token is the i-th token the stand-in generates for a prompt: a pure function,
-// so that a checker can tell whole and right answers from others.
+// Token returns the i-th token that the stand-in generates for a prompt. It is a pure
+// function, so a test can check that an answer is complete and correct.
 func Token(prompt string, i int) string {
 	return fmt.Sprintf("w%04x ", xxhash.Sum64String(fmt.Sprintf("%s#%d", prompt, i))&0xffff)
 }
 
-// Answer is the whole text of n tokens for a prompt.
+// Answer returns the text of the first n tokens for a prompt.
 func Answer(prompt string, n int) string {
 	out := ""
 	for i := range n {
--- a/internal/standin/enginefake/engine.go
+++ b/internal/standin/enginefake/engine.go
@@ -1,7 +1,7 @@
-// Package enginefake is a small stand-in for one VM's model engine: control
-// protocol, weight loading, continuous batching over a few slots, token streams
-// that are a pure function of the prompt, and faults switched on by tests. It
-// keeps its own record of what it served, which is the judge in fault tests.
+// Package enginefake is a small stand-in for the model engine of one VM: control protocol,
+// weight loading, continuous batching over a few slots, token streams that are a pure
+// function of the prompt, and faults that tests inject. It records the requests that it
+// served; fault tests check their results against that record.
 package enginefake
 
 import (
@@ -21,10 +21,10 @@
 	IgnoreFence    bool `json:"ignore_fence"`
 	Leaving        bool `json:"leaving"`
 	CutAfterTokens int  `json:"cut_after_tokens"` // cut the next stream after n tokens
-	CrossNext      bool `json:"cross_next"`       // next answer carries another request's id
+	CrossNext      bool `json:"cross_next"`       // the next answer carries another request's id
 	CrossBody      bool `json:"cross_body"`       // ... in its body only, not in its header
 	SlowMS         int  `json:"slow_ms"`          // extra time per token
-	ReportLagMS    int  `json:"report_lag_ms"`    // load report as of that long ago
+	ReportLagMS    int  `json:"report_lag_ms"`    // age of the reported load
 }
 
 // Options describe one stand-in VM.
@@ -34,23 +34,24 @@
 	Slots   int
 	// TokenTime is the time between tokens.
 	TokenTime time.Duration
-	// FetchWeights loads megabytes from the weight store; nil loads at once.
+	// FetchWeights loads megabytes from the weight store. If it is nil, loading takes no time.
 	FetchWeights func(ctx context.Context, megabytes int) error
 }
 
-// Served is the record of one request that the engine began to work on.
+// Served is the record of one request that the engine started. Complete is set when its
+// answer was written completely.
 type Served struct {
 	RequestID string    `json:"request_id"`
 	Key       string    `json:"key,omitempty"`
 	Group     string    `json:"group"`
 	Epoch     uint64    `json:"epoch"`
 	At        time.Time `json:"at"`
-	Whole     bool      `json:"whole"`
-	// Partial tells that some member of the group was not at this epoch.
+	Complete  bool      `json:"whole"`
+	// Partial: some member of the group was not ready at this epoch when the request started.
 	Partial bool `json:"partial"`
 }
 
-// Engine is one stand-in VM. Create with New; all methods are safe for
+// Engine is the engine of one stand-in VM. Create it with New; all methods are safe for
 // concurrent use.
 type Engine struct {
 	opts Options
@@ -63,7 +64,7 @@
 	loaded  engine.Weights
 	fence   uint64
 	running int
-	queue   waitQueue
+	queue   requestQueue
 	faults  Faults
 	served  []Served
 	cancels map[string]context.CancelFunc
@@ -90,7 +91,7 @@
 	}
 }
 
-// Restart makes the engine forget everything, as a VM that died and came back.
+// Restart resets the engine's state and boot id, as after a restart of the VM.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,26 +111,26 @@
 	e.faults = f
 }
 
-// Served returns the record of requests so far.
+// Served returns the records of all requests so far.
 func (e *Engine) Served() []Served {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Served(nil), e.served...)
 }
 
-// Status answers a probe; load is as of the report lag ago.
+// Status returns the answer to a probe. Its load is as old as Faults.ReportLagMS.
 func (e *Engine) Status() engine.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	load := e.lagged()
+	load := e.reportedLoad()
 	return engine.Status{
 		VM: e.opts.VM, BootID: e.bootID, State: e.state, Assignment: e.assign, Loaded: e.loaded,
 		Running: load.running, Queued: load.queued, Slots: e.opts.Slots, Leaving: e.faults.Leaving,
 	}
 }
 
-// lagged returns the load to report. Caller holds mu.
-func (e *Engine) lagged() loadReport {
+// reportedLoad returns the load to report. The caller holds mu.
+func (e *Engine) reportedLoad() loadReport {
 	now := time.Now()
 	current := loadReport{at: now, running: e.running, queued: e.queue.Len()}
 	if e.faults.ReportLagMS == 0 {
@@ -149,7 +150,7 @@
 	return out
 }
 
-// Order applies an order; false means it was refused for its fence.
+// Order applies an order. It returns false if it refused the order because of its fence.
 func (e *Engine) Order(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -203,8 +204,9 @@
 		a.Weights == b.Weights && slices.Equal(a.Members, b.Members)
 }
 
-// admit checks that a request is for the epoch this engine leads.
-func (e *Engine) admit(group string, epoch uint64) (*engine.Assignment, bool) {
+// leads reports whether the engine is ready as rank 0 of the group at the epoch, and returns
+// its assignment.
+func (e *Engine) leads(group string, epoch uint64) (*engine.Assignment, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ok := e.state == engine.StateReady && e.assign != nil && e.assign.Rank == 0 &&
--- a/internal/standin/enginefake/http.go
+++ b/internal/standin/enginefake/http.go
@@ -15,13 +15,14 @@
 	"pearlanding/internal/engine"
 )
 
-// maxRequestBytes bounds a request to the stand-in.
+// maxRequestBytes is how much of a request the stand-in reads.
 const maxRequestBytes = 8 << 20
 
-// prefillTime is what the first token costs on top when the prefix is not cached.
+// prefillTokens is the extra delay of the first token, in token times, if the prefix is not
+// cached.
 const prefillTokens = 4
 
-// Handler serves the engine's protocols and /fake endpoints.
+// Handler returns the handler of the engine's protocols and the /fake endpoints.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+engine.PathStatus, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Status()) })
@@ -76,8 +77,8 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// generation is one request as the stand-in reads it.
-type generation struct {
+// generateRequest holds the fields of a model request that the stand-in reads.
+type generateRequest struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
 	MaxTokens int    `json:"max_tokens"`
@@ -90,7 +91,7 @@
 	chat bool
 }
 
-func (g *generation) prompt() string {
+func (g *generateRequest) prompt() string {
 	parts := []string{g.Prompt}
 	for _, m := range g.Messages {
 		parts = append(parts, m.Content)
@@ -98,24 +99,24 @@
 	return strings.Join(parts, "\n")
 }
 
-// defaultTokens is what a request without max_tokens gets.
-const defaultTokens = 16
+// defaultMaxTokens is the answer's length for a request without max_tokens.
+const defaultMaxTokens = 16
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
-	var g generation
+	var g generateRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&g); err != nil {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
 	if g.MaxTokens <= 0 {
-		g.MaxTokens = defaultTokens
+		g.MaxTokens = defaultMaxTokens
 	}
 	g.chat = strings.HasSuffix(r.URL.Path, "chat/completions")
 	g.id = r.Header.Get(engine.HeaderRequestID)
 	g.from, _ = strconv.Atoi(r.Header.Get(engine.HeaderResume))
 	epoch, _ := strconv.ParseUint(r.Header.Get(engine.HeaderEpoch), 10, 64)
-	assignment, ok := e.admit(r.Header.Get(engine.HeaderGroup), epoch)
+	assignment, ok := e.leads(r.Header.Get(engine.HeaderGroup), epoch)
 	if !ok {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		writeJSON(w, http.StatusConflict, map[string]string{"error": "not rank 0 of that epoch"})
@@ -131,8 +132,9 @@
 	e.run(ctx, cancel, w, &g, assignment, r.Header.Get("Idempotency-Key"))
 }
 
-// run generates the answer of one admitted request.
-func (e *Engine) run(ctx context.Context, cancel context.CancelFunc, w http.ResponseWriter, g *generation, a *engine.Assignment, key string) {
+// run records an admitted request and generates its answer. It aborts the connection if the
+// group is only partly assembled or the answer is cut.
+func (e *Engine) run(ctx context.Context, cancel context.CancelFunc, w http.ResponseWriter, g *generateRequest, a *engine.Assignment, key string) {
 	e.mu.Lock()
 	e.cancels[g.id] = cancel
 	e.served = append(e.served, Served{RequestID: g.id, Key: key, Group: a.Group, Epoch: a.Epoch, At: time.Now()})
@@ -146,7 +148,7 @@
 		delete(e.cancels, g.id)
 		e.mu.Unlock()
 	}()
-	if !e.membersAt(ctx, a) {
+	if !e.membersReadyAt(ctx, a) {
 		e.mu.Lock()
 		e.served[record].Partial = true
 		e.mu.Unlock()
@@ -164,19 +166,19 @@
 	if !cached && !pause(ctx, prefillTokens*step) {
 		panic(http.ErrAbortHandler)
 	}
-	if !e.emit(ctx, w, g, a, faults, step) {
+	if !e.writeAnswer(ctx, w, g, a, faults, step) {
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
-	e.served[record].Whole = true
+	e.served[record].Complete = true
 	e.mu.Unlock()
 }
 
-// memberCheckEvery is how many tokens pass between looks at the other members.
-const memberCheckEvery = 8
+// memberCheckTokens is the number of tokens between checks of the other members.
+const memberCheckTokens = 8
 
-// emit writes the tokens; false means the answer was cut.
-func (e *Engine) emit(ctx context.Context, w http.ResponseWriter, g *generation, a *engine.Assignment, faults Faults, step time.Duration) bool {
+// writeAnswer writes the tokens. It returns false if the answer is to be cut.
+func (e *Engine) writeAnswer(ctx context.Context, w http.ResponseWriter, g *generateRequest, a *engine.Assignment, faults Faults, step time.Duration) bool {
 	text := ""
 	flusher, _ := w.(http.Flusher)
 	if g.Stream {
@@ -186,7 +188,7 @@
 		if !pause(ctx, step) || (faults.CutAfterTokens > 0 && i-g.from >= faults.CutAfterTokens) {
 			return false
 		}
-		if i%memberCheckEvery == memberCheckEvery-1 && !e.membersAt(ctx, a) {
+		if i%memberCheckTokens == memberCheckTokens-1 && !e.membersReadyAt(ctx, a) {
 			return false
 		}
 		token := Token(g.prompt(), i)
@@ -194,20 +196,21 @@
 			text += token
 			continue
 		}
-		fmt.Fprintf(w, "data: %s\n\n", chunk(g, token, ""))
+		fmt.Fprintf(w, "data: %s\n\n", streamChunk(g, token, ""))
 		flusher.Flush()
 	}
 	if g.Stream {
-		fmt.Fprintf(w, "data: %s\n\ndata: [DONE]\n\n", chunk(g, "", "length"))
+		fmt.Fprintf(w, "data: %s\n\ndata: [DONE]\n\n", streamChunk(g, "", "length"))
 		return true
 	}
-	body := whole(g, text)
+	body := completeAnswer(g, text)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, err := w.Write(body)
 	return err == nil
 }
 
+// pause waits for d and reports whether it passed before ctx ended.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -222,15 +225,15 @@
 	}
 }
 
-// prefixOf is the part of a prompt the prefix cache looks at.
+// prefixOf returns the part of a prompt that the prefix cache uses as its key.
 func prefixOf(prompt string) string {
 	const prefixBytes = 64
 	return prompt[:min(len(prompt), prefixBytes)]
 }
 
-// membersAt asks every other member whether it stands ready at the same epoch,
-// as the collective of a real group would notice.
-func (e *Engine) membersAt(ctx context.Context, a *engine.Assignment) bool {
+// membersReadyAt asks every other member whether it is ready at the same epoch. It stands for
+// the collective operations of a real group, which fail without a member.
+func (e *Engine) membersReadyAt(ctx context.Context, a *engine.Assignment) bool {
 	for rank, address := range a.Members {
 		if rank == a.Rank {
 			continue
--- a/internal/standin/engines.go
+++ b/internal/standin/engines.go
@@ -1,4 +1,5 @@
-// Package standin runs the stand-ins as servers: platform, engines, service.
+// Package standin runs the stand-ins for outside systems as HTTP servers: platform, engines
+// and service.
 package standin
 
 import (
@@ -16,7 +17,7 @@
 	"pearlanding/internal/standin/enginefake"
 )
 
-// Serve answers on the listener until ctx ends.
+// Serve serves h on the listener until ctx ends, then closes all connections and returns nil.
 func Serve(ctx context.Context, listener net.Listener, h http.Handler) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	go func() {
@@ -38,16 +39,16 @@
 	Domain    string
 	Slots     int
 	TokenTime time.Duration
-	// Platform is the stand-in platform's URL, for weights and the VM list; "" if
-	// Weights is given.
+	// Platform is the stand-in platform's URL, for weights and the VM list. Weights, if set,
+	// takes precedence for weights.
 	Platform string
 	Weights  func(ctx context.Context, megabytes int) error
 }
 
-// accelerators of each stand-in VM.
+// accelerators is the number of accelerators of each stand-in VM.
 const accelerators = 2
 
-// VM is one stand-in VM.
+// VM is one stand-in VM with its engine.
 type VM struct {
 	Row    objectapi.VM
 	Engine *enginefake.Engine
@@ -55,10 +56,10 @@
 	stop   context.CancelFunc
 }
 
-// Kill makes the VM vanish: its connections are cut, new ones refused.
+// Kill stops the VM: its connections are closed and new ones refused.
 func (vm *VM) Kill() { vm.stop() }
 
-// Boot brings a killed VM back at its address with a new boot id.
+// Boot restarts a killed VM at its address with a new boot id.
 func (vm *VM) Boot() error {
 	vm.Engine.Restart()
 	listener, err := net.Listen("tcp", vm.Row.Address)
@@ -79,7 +80,7 @@
 func StartEngines(ctx context.Context, set EngineSet) ([]*VM, error) {
 	fetch := set.Weights
 	if fetch == nil && set.Platform != "" {
-		fetch = weightsOver(set.Platform)
+		fetch = weightsFrom(set.Platform)
 	}
 	var out []*VM
 	for i := range set.Count {
@@ -102,15 +103,15 @@
 	return out, nil
 }
 
-// weightsOver fetches weights from a stand-in platform.
-func weightsOver(base string) func(context.Context, int) error {
+// weightsFrom returns a function that fetches weights from a stand-in platform.
+func weightsFrom(base string) func(context.Context, int) error {
 	return func(ctx context.Context, megabytes int) error {
 		return call(ctx, http.MethodPost, fmt.Sprintf("%s/v1/weights?megabytes=%d", base, megabytes), nil)
 	}
 }
 
-// Enlist puts a VM into the stand-in platform's list.
-func Enlist(ctx context.Context, base string, vm objectapi.VM) error {
+// RegisterVM adds a VM to the stand-in platform's list.
+func RegisterVM(ctx context.Context, base string, vm objectapi.VM) error {
 	body, err := json.Marshal(vm)
 	if err != nil {
 		return errors.Trace(err)
@@ -118,7 +119,7 @@
 	return call(ctx, http.MethodPut, base+"/fake/vms", body)
 }
 
-// call makes one call of a stand-in that must be answered with 200.
+// call makes one call to a stand-in. Any status but 200 is an error.
 func call(ctx context.Context, method, url string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/standin/platformfake/http.go
+++ b/internal/standin/platformfake/http.go
@@ -11,9 +11,9 @@
 	"pearlanding/internal/objectapi"
 )
 
-// Handler serves the object API, the VM list, the weight store and the control
-// endpoint /fake/faults. It uses the standard library's server on purpose: a
-// fault in the daemon's HTTP library must not cancel out against itself.
+// Handler returns the handler of the object API, the VM list, the weight store and the /fake
+// endpoints. It is built on the standard library's server, not on the daemon's HTTP library:
+// with that library on both sides, a fault in it could go unnoticed.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/objects/{key...}", s.serveGet)
@@ -21,34 +21,34 @@
 	mux.HandleFunc("DELETE /v1/objects/{key...}", s.serveDelete)
 	mux.HandleFunc("GET /v1/list", func(w http.ResponseWriter, r *http.Request) {
 		out, err := s.List(r.Context(), r.URL.Query().Get("prefix"))
-		reply(w, out, err)
+		writeReply(w, out, err)
 	})
 	mux.HandleFunc("GET /v1/watch", func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 		out, err := s.Watch(r.Context(), r.URL.Query().Get("prefix"), after)
-		reply(w, out, err)
+		writeReply(w, out, err)
 	})
 	mux.HandleFunc("GET /v1/vms", func(w http.ResponseWriter, r *http.Request) {
 		out, err := s.VMs(r.Context(), r.URL.Query().Get("domain"))
-		reply(w, out, err)
+		writeReply(w, out, err)
 	})
 	mux.HandleFunc("POST /v1/weights", func(w http.ResponseWriter, r *http.Request) {
 		mb, _ := strconv.Atoi(r.URL.Query().Get("megabytes"))
-		reply(w, struct{}{}, s.Weights(r.Context(), mb))
+		writeReply(w, struct{}{}, s.Weights(r.Context(), mb))
 	})
 	mux.HandleFunc("PUT /fake/vms", s.servePutVM)
 	mux.HandleFunc("DELETE /fake/vms/{name}", func(w http.ResponseWriter, r *http.Request) {
 		s.SetVMState(r.PathValue("name"), "")
-		reply(w, struct{}{}, nil)
+		writeReply(w, struct{}{}, nil)
 	})
 	mux.HandleFunc("PUT /fake/faults", s.servePutFaults)
-	mux.HandleFunc("GET /fake/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Calls(), nil) })
+	mux.HandleFunc("GET /fake/calls", func(w http.ResponseWriter, _ *http.Request) { writeReply(w, s.Calls(), nil) })
 	return mux
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	obj, err := s.Get(r.Context(), r.PathValue("key"))
-	reply(w, obj, err)
+	writeReply(w, obj, err)
 }
 
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
@@ -64,12 +64,12 @@
 		expect, _ := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
 		version, err = s.Update(r.Context(), r.PathValue("key"), expect, body)
 	}
-	reply(w, map[string]uint64{"version": version}, err)
+	writeReply(w, map[string]uint64{"version": version}, err)
 }
 
 func (s *Store) serveDelete(w http.ResponseWriter, r *http.Request) {
 	expect, _ := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
-	reply(w, map[string]uint64{}, s.Delete(r.Context(), r.PathValue("key"), expect))
+	writeReply(w, map[string]uint64{}, s.Delete(r.Context(), r.PathValue("key"), expect))
 }
 
 func (s *Store) servePutVM(w http.ResponseWriter, r *http.Request) {
@@ -79,7 +79,7 @@
 		return
 	}
 	s.AddVM(vm)
-	reply(w, vm, nil)
+	writeReply(w, vm, nil)
 }
 
 func (s *Store) servePutFaults(w http.ResponseWriter, r *http.Request) {
@@ -89,11 +89,12 @@
 		return
 	}
 	s.SetFaults(f)
-	reply(w, f, nil)
+	writeReply(w, f, nil)
 }
 
-// reply writes the JSON answer of a call; a lost answer cuts the connection.
-func reply(w http.ResponseWriter, value any, err error) {
+// writeReply writes the JSON answer or the error status of a call. For a lost answer it
+// aborts the connection.
+func writeReply(w http.ResponseWriter, value any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/standin/platformfake/store.go
+++ b/internal/standin/platformfake/store.go
@@ -1,6 +1,6 @@
-// Package platformfake is a small stand-in for the platform: the object API,
-// the lagging list of VMs and the rate-limited weight store, with faults that
-// tests and shells switch on.
+// Package platformfake is a small stand-in for the platform: the object API, the list of VMs,
+// which may lag, and the rate-limited weight store. Faults are injected by SetFaults or over
+// HTTP.
 package platformfake
 
 import (
@@ -20,16 +20,16 @@
 type Faults struct {
 	// Outage makes every call fail with ErrUnavailable.
 	Outage bool `json:"outage"`
-	// Slow delays each call.
+	// SlowMS delays each call.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers applies that many further writes but loses their answers.
+	// LoseAnswers is the number of next writes that are applied but whose answers are lost.
 	LoseAnswers int `json:"lose_answers"`
-	// ListLag makes List and VMs answer as of that long ago.
+	// ListLagMS is the age of the list that VMs returns.
 	ListLagMS int `json:"list_lag_ms"`
 }
 
-// Store is the stand-in's state; it implements objectapi.Store directly so that
-// tests need no network.
+// Store is the stand-in. It implements objectapi.Store itself, so that tests need no network.
+// All methods are safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
@@ -47,10 +47,10 @@
 	list []objectapi.VM
 }
 
-// watchWait is how long a watch waits before it answers with nothing.
-const watchWait = 15 * time.Second
+// maxWatchWait is how long a watch waits before it returns without objects.
+const maxWatchWait = 15 * time.Second
 
-// New returns an empty platform. writesPerSecond limits writes (0: no limit);
+// New returns an empty platform. writesPerSecond limits writes (0: no limit),
 // weightsGBPerSecond limits the weight store (0: no limit).
 func New(writesPerSecond int, weightsGBPerSecond float64) *Store {
 	s := &Store{objects: map[string]objectapi.Object{}, changed: make(chan struct{}), calls: map[string]int{}}
@@ -63,7 +63,7 @@
 	return s
 }
 
-// mbPerGB: the weight store's limiter counts in megabytes.
+// mbPerGB converts gigabytes to the megabytes that the weight store's limiter counts.
 const mbPerGB = 1000
 
 // SetFaults replaces the faults in force.
@@ -73,7 +73,7 @@
 	s.faults = f
 }
 
-// SetVMs publishes a new list of VMs.
+// SetVMs replaces the list of VMs.
 func (s *Store) SetVMs(list []objectapi.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	s.SetVMs(next)
 }
 
-// AddVM adds a VM to the list or replaces the one of that name.
+// AddVM adds a VM to the list, or replaces the one with that name.
 func (s *Store) AddVM(vm objectapi.VM) {
 	s.mu.Lock()
 	next := []objectapi.VM{vm}
@@ -118,7 +118,7 @@
 	return s.vms[len(s.vms)-1].list
 }
 
-// Calls returns how often each kind of call was made so far.
+// Calls returns the number of calls so far by kind.
 func (s *Store) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,8 +129,8 @@
 	return out
 }
 
-// enter counts the call and applies slowness and outage.
-func (s *Store) enter(ctx context.Context, kind string) error {
+// beginCall counts a call and applies Faults.SlowMS and Faults.Outage.
+func (s *Store) beginCall(ctx context.Context, kind string) error {
 	s.mu.Lock()
 	s.calls[kind]++
 	faults := s.faults
@@ -150,7 +150,7 @@
 
 // Get implements objectapi.Store.
 func (s *Store) Get(ctx context.Context, key string) (objectapi.Object, error) {
-	if err := s.enter(ctx, "get"); err != nil {
+	if err := s.beginCall(ctx, "get"); err != nil {
 		return objectapi.Object{}, err
 	}
 	s.mu.Lock()
@@ -164,15 +164,15 @@
 
 // List implements objectapi.Store.
 func (s *Store) List(ctx context.Context, prefix string) ([]objectapi.Object, error) {
-	if err := s.enter(ctx, "list"); err != nil {
+	if err := s.beginCall(ctx, "list"); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.above(prefix, 0), nil
+	return s.newerThan(prefix, 0), nil
 }
 
-func (s *Store) above(prefix string, after uint64) []objectapi.Object {
+func (s *Store) newerThan(prefix string, after uint64) []objectapi.Object {
 	var out []objectapi.Object
 	for key, obj := range s.objects {
 		if strings.HasPrefix(key, prefix) && obj.Version > after {
@@ -201,9 +201,9 @@
 	return err
 }
 
-// apply performs one conditional write; a nil value deletes.
+// apply performs one conditional write; a nil value deletes the object.
 func (s *Store) apply(ctx context.Context, kind, key string, allowed func(objectapi.Object, bool) bool, value []byte) (uint64, error) {
-	if err := s.enter(ctx, kind); err != nil {
+	if err := s.beginCall(ctx, kind); err != nil {
 		return 0, err
 	}
 	if len(value) > objectapi.MaxValueBytes {
@@ -235,13 +235,13 @@
 
 // Watch implements objectapi.Store.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64) ([]objectapi.Object, error) {
-	if err := s.enter(ctx, "watch"); err != nil {
+	if err := s.beginCall(ctx, "watch"); err != nil {
 		return nil, err
 	}
-	deadline := time.After(watchWait)
+	deadline := time.After(maxWatchWait)
 	for {
 		s.mu.Lock()
-		out, changed := s.above(prefix, after), s.changed
+		out, changed := s.newerThan(prefix, after), s.changed
 		s.mu.Unlock()
 		if len(out) > 0 {
 			return out, nil
@@ -256,9 +256,9 @@
 	}
 }
 
-// VMs implements objectapi.Store, as of the list lag ago.
+// VMs implements objectapi.Store. The list is as old as Faults.ListLagMS.
 func (s *Store) VMs(ctx context.Context, domain string) ([]objectapi.VM, error) {
-	if err := s.enter(ctx, "vms"); err != nil {
+	if err := s.beginCall(ctx, "vms"); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -274,9 +274,9 @@
 	return slices.DeleteFunc(slices.Clone(out), func(vm objectapi.VM) bool { return domain != "" && vm.Domain != domain }), nil
 }
 
-// Weights waits until the weight store has delivered megabytes of weights.
+// Weights waits until the weight store has delivered that many megabytes of weights.
 func (s *Store) Weights(ctx context.Context, megabytes int) error {
-	if err := s.enter(ctx, "weights"); err != nil {
+	if err := s.beginCall(ctx, "weights"); err != nil {
 		return err
 	}
 	if s.weights == nil {
--- a/internal/standin/servicefake/service.go
+++ b/internal/standin/servicefake/service.go
@@ -1,5 +1,5 @@
-// Package servicefake is a small stand-in for a plain service. It counts what it
-// ran for each idempotency key, and that count is the judge of "at most once".
+// Package servicefake is a small stand-in for a plain service. It counts its runs by
+// idempotency key; tests of at-most-once requests check against these counts.
 package servicefake
 
 import (
@@ -12,12 +12,12 @@
 
 // Faults are the injectable faults of the service.
 type Faults struct {
-	CutNext int `json:"cut_next"` // run, then cut the connection, that often
+	CutNext int `json:"cut_next"` // number of next requests to run and then cut the connection
 	SlowMS  int `json:"slow_ms"`
-	Refuse  int `json:"refuse"` // answer 503 without running, that often
+	Refuse  int `json:"refuse"` // number of next requests to answer with 503 without running them
 }
 
-// Service is the stand-in; the zero value is not usable, see New.
+// Service is the stand-in. Create it with New; all methods are safe for concurrent use.
 type Service struct {
 	name   string
 	mu     sync.Mutex
@@ -26,10 +26,10 @@
 	faults Faults
 }
 
-// New returns a service of that name.
+// New returns a service with a name.
 func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
 
-// Runs returns how often each key was run.
+// Runs returns the number of runs by idempotency key.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	s.faults = f
 }
 
-// Handler serves every path as a run, and /fake endpoints.
+// Handler returns a handler that runs every request except those of the /fake endpoints.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serveRun)
@@ -63,7 +63,7 @@
 	return mux
 }
 
-// result is what a run answers.
+// result is the answer of a run. Run is the number of runs so far.
 type result struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
