--- a/models/config.pml
+++ b/models/config.pml
@@ -1,28 +1,27 @@
-/* Acceptance of a configuration revision: promise 8, "an accepted configuration
- * is in force everywhere and never reverts".
+/* Acceptance of a configuration revision. Checks promise 8: "an accepted configuration is in
+ * force everywhere and never reverts".
  *
- * Three registered daemons share one platform object, the head. One change, to
- * revision 1, is written by any of them. DECIDER judges it; VICTIM is the daemon
- * that might still admit under revision 0; HELPER is the third. The roles are
- * symmetric in the protocol, so only what the decider knows of the others and the
- * victim's own lease need be kept. Time goes in ticks: the admission lease is TERM
- * ticks, the fence FENCE. Each event is one atomic step, in any order. Names are
- * those of package revision: PlatformRead, Renew (platform, majority, accounted),
- * Note, Decide. Kills and restarts come without bound. A cut, a pause, a lost answer or
- * a platform outage is an event that does not happen: any number of them may fail
- * to happen for any time.
+ * Three registered daemons share one platform object, the head. Any of them writes one change,
+ * to revision 1. DECIDER decides whether it is accepted; VICTIM is the daemon that might still
+ * admit requests under revision 0; HELPER is the third. The roles are symmetric in the
+ * protocol, so the model only holds what the decider knows about the others, and the victim's
+ * lease. Time is counted in ticks: the admission lease is TERM ticks, the fence time FENCE
+ * ticks. Each event is one atomic step, and events occur in any order. Names are those of
+ * package revision: PlatformRead, Renew (platform, majority, accounted), Note, Decide. Kills
+ * and restarts are unbounded. A network cut, a pause, a lost answer or a platform outage is an
+ * event that does not occur: any number of events may fail to occur for any time.
  *
  * Variants, each of which must hold:
- *   +DNEWCOMER         the decider joined after the victim last learned anything:
- *                      the victim knows two helpers and not the decider
+ *   +DNEWCOMER         the decider joined after the victim's last update: the victim
+ *                      knows two helpers but not the decider
  *
  * Mutants, each of which must be refuted:
- *   -DNO_FENCE         the quorum need not live on for the fence time
- *   -DNEWCOMER_MAY_DIE the fence time is waited, but the quorum may die in it
- *   -DNO_QUORUM        the fence time alone is enough
- *   -DOLD_REFUSAL      a refusal from before the change counts as stopped
+ *   -DNO_FENCE         the quorum need not keep running for the fence time
+ *   -DNEWCOMER_MAY_DIE the fence time passes, but the quorum may die in it
+ *   -DNO_QUORUM        the fence time alone suffices
+ *   -DOLD_REFUSAL      a refusal from before the change counts as a stopped process
  *   -DACCOUNTED_STARTS "accounted for" may start a lease, not only extend one
- *   -DLEASE_FROM_NOW   a lease is counted from its renewal, not its evidence
+ *   -DLEASE_FROM_NOW   a lease is counted from its renewal, not from its evidence
  */
 #ifdef NEWCOMER_MAY_DIE
 #define NEWCOMER
@@ -33,7 +32,7 @@
 #define VICTIM 2
 #ifdef NEWCOMER
 #define HELPER2 3
-#define FIRST HELPER2   /* whom the victim knows, with HELPER */
+#define FIRST HELPER2   /* the daemon that the victim knows besides HELPER */
 #define PROCS 4
 #else
 #define FIRST DECIDER
@@ -46,20 +45,20 @@
 #define TERM 3
 #define FENCE 4
 #endif
-#define STALE TERM      /* an age that counts no more */
+#define STALE TERM      /* an age at which evidence has expired */
 
 bit head, accepted;
 bit rev[PROCS], alive[PROCS];
 
 /* the victim's lease and evidence */
-byte lease;             /* ticks it still holds */
-byte heardAge[PROCS];   /* age of its last hearing of FIRST, HELPER */
-byte refusedAge[PROCS];     /* age of its last refused connection */
+byte lease;             /* ticks until it ends */
+byte heardAge[PROCS];   /* age of the last answer of FIRST, HELPER */
+byte refusedAge[PROCS];     /* age of the last connection that they refused */
 
 /* what the decider knows */
-bit acked[PROCS];           /* this process has revision 1 */
-byte ackAge[PROCS];         /* ticks since that was noted, up to FENCE */
-bit livedOn[PROCS];         /* it was heard again a fence time later */
+bit acked[PROCS];           /* the process is known to have revision 1 */
+byte ackAge[PROCS];         /* ticks since that became known, up to FENCE */
+bit livedOn[PROCS];         /* it answered again at least the fence time later */
 bit gone[PROCS];            /* it refused a connection since the decider has revision 1 */
 
 byte x, y, a;
@@ -76,7 +75,7 @@
 #endif
 }
 
-/* Renew, of the victim: a majority is itself and one more, not ahead */
+/* Renew by the victim: a majority is itself and one more, none at a newer revision */
 inline renew() {
   a = MIN(heardAge[FIRST], heardAge[HELPER]);
   if
@@ -91,7 +90,7 @@
   fi
 }
 
-/* what a process does on having revision 1 */
+/* process p applies revision 1, unless it has it */
 inline learn(p) {
   if
   :: !rev[p] ->
@@ -106,8 +105,8 @@
   if :: p == VICTIM -> lease = TERM :: else -> skip fi
 }
 
-/* with a fourth daemon, only the helpers die: the decider must live to decide, and
- * a dead victim admits nothing */
+/* With a fourth daemon only the helpers may die: a dead decider decides nothing, and a dead
+ * victim admits nothing. */
 #ifdef NEWCOMER
 #define MORTAL(p) (p == HELPER || p == HELPER2)
 #else
@@ -120,7 +119,7 @@
 #define CAN_ASK(p, q) true
 #endif
 
-/* p asks q */
+/* p makes a sync call to q */
 inline sync(p, q) {
   if
   :: alive[q] ->
@@ -156,7 +155,7 @@
 #endif
 #define KNOWN(p) (acked[p] || gone[p])
 #ifdef NEWCOMER
-/* two of three of the base, three of four now, the decider among these */
+/* two of the three slots accepted last and three of the four now, the decider among these */
 #define QUORUM (LIVED(HELPER) && LIVED(HELPER2) || LIVED(HELPER) && LIVED(VICTIM) || LIVED(HELPER2) && LIVED(VICTIM))
 #define ACCOUNTED (KNOWN(HELPER) && KNOWN(HELPER2) && KNOWN(VICTIM))
 #else
@@ -185,7 +184,7 @@
   alive[p] = 0;
   if
   :: p == VICTIM -> lease = 0
-  :: p == DECIDER ->           /* what it knew dies with it */
+  :: p == DECIDER ->           /* it loses what it knew */
        a = 0;
        do
        :: a < PROCS -> acked[a] = 0; ackAge[a] = 0; livedOn[a] = 0; gone[a] = 0; a++
@@ -196,8 +195,8 @@
   rev[p] = 0
 }
 
-/* a new process joins by a conditional update of the head, so it has the current
- * one; what was known of the old process does not count for it */
+/* A new process joins by a conditional update of the head, so it has the current head. What
+ * was known about the old process does not apply to it. */
 inline restart(p) {
   alive[p] = 1; rev[p] = 0;
   if
--- a/models/group.pml
+++ b/models/group.pml
@@ -1,29 +1,30 @@
-/* The life of a group: promises 1 and 2, "no partially assembled group serves"
- * and "no VM belongs to two groups". Three VMs and one group of two, at epoch 1 as
- * the old holder left it. The old holder still acts on its copy, as far as its
- * proof of holding reaches, with orders that are in flight for up to ORDER ticks.
- * The new holder takes over, suspends, replaces a member at epoch 2, verifies. A
- * third daemon routes requests by its own copy of the domain and its own evidence.
- * All are slow or paused between any two steps; VMs restart at any time; orders get
- * lost; a frozen VM is one whose events do not happen. That two holders can't both
- * write is the platform's conditional update and not modelled again here. Time goes
- * in ticks. Names are those of package group: takeOver, suspend, replace, verified,
- * mayOrder, Orders, Assess, Fresh. Engines ignore fencing numbers.
+/* Reconfiguration of a group. Checks promises 1 and 2: "no partially assembled group serves"
+ * and "no VM belongs to two groups".
+ *
+ * There are three VMs and one group of two, at epoch 1 as the old holder left it. The old
+ * holder still acts on its copy of the domain while its proof of holding is recent enough; its
+ * orders are in flight for up to ORDER ticks. The new holder takes over, suspends the group,
+ * replaces a member at epoch 2 and verifies the members. A third daemon routes requests by its
+ * own copy of the domain and its own evidence. Each of them may pause for any time between two
+ * steps; VMs restart at any time; orders may be lost; a frozen VM is one whose events do not
+ * occur. The platform's conditional update prevents two holders from both writing; that is not
+ * modelled here. Time is counted in ticks. Names are those of package group: takeOver, suspend,
+ * replace, verified, mayOrder, Orders, Assess, Fresh. Engines ignore fencing numbers.
  *
  * Variants, each of which must hold:
  *   +DFENCES       engines refuse orders of an older epoch
  *
  * Mutants, each of which must be refuted:
- *   -DNO_ORDER_WAIT the new holder orders without waiting out the old one's lease
- *   -DNO_LEASE      the old holder orders without a recent proof of its hold
- *   -DNO_SETTLE     a VM enters an epoch before old evidence has run out
- *   -DNO_REST       a member goes straight from one epoch to the next
- *   -DEARLY_REST    rest counts while an order of the old holder may still land
+ *   -DNO_ORDER_WAIT the new holder sends orders before the old one's lease has ended
+ *   -DNO_LEASE      the old holder sends orders without a recent proof of holding
+ *   -DNO_SETTLE     a VM enters an epoch before older evidence has expired
+ *   -DNO_REST       a member goes directly from one epoch to the next
+ *   -DEARLY_REST    unassigned time counts while an old holder's order may still arrive
  *   -DNO_AGE        requests are dispatched on evidence of any age
  */
-#define AGE 2           /* ticks: oldest evidence to dispatch on */
-#define ORDER 1         /* longest an order is in flight */
-#define LEASE 3         /* oldest proof of holding to order on */
+#define AGE 2           /* ticks: oldest evidence on which a request is dispatched */
+#define ORDER 1         /* ticks: longest time that an order is in flight */
+#define LEASE 3         /* ticks: oldest proof of holding on which orders are sent */
 #define SETTLE (AGE + ORDER)
 #ifdef NO_ORDER_WAIT
 #define WAIT 0
@@ -36,7 +37,7 @@
 
 mtype = { loading, serving, suspended };
 
-/* the engines: the epoch each is assigned to, 0: none */
+/* the engines: the epoch to which each is assigned; 0: none */
 byte asg[3];
 
 /* the domain object */
@@ -46,8 +47,8 @@
 
 byte proof;             /* age of the old holder's proof of holding */
 byte wait;              /* ticks until the new holder may order */
-byte rest[3];           /* ticks an engine has had no assignment, counted from when no
-                         * order of the old holder can land any more */
+byte rest[3];           /* ticks for which an engine has had no assignment, counted from when
+                         * no order of the old holder can arrive any more */
 byte flyTo[2] = NOBODY, flyEpoch[2], flyAge[2];
 
 /* the routing daemon */
@@ -122,7 +123,7 @@
   :: atomic {
        select(v : 0 .. 2);
        if
-       /* the old holder, by its copy: epoch 1 of VMs 0 and 1 */
+       /* the old holder, by its copy of the domain: epoch 1 on VMs 0 and 1 */
        :: !takenOver -> proof = 0
        :: !takenOver && state == loading && asg[0] == 1 && asg[1] == 1 -> state = serving
        :: OLD_MAY_ORDER && flyTo[OLD] == NOBODY && v < 2 && asg[v] != 1 -> order(OLD, v, 1)
@@ -142,14 +143,14 @@
        :: flyAge[OLD] < ORDER && flyAge[NEW] < ORDER -> tick()
        /* a VM restarts */
        :: asg[v] != 0 -> asg[v] = 0; rest[v] = 0
-       /* the routing daemon learns the object and reads the members back */
+       /* the routing daemon reads the domain object and probes the members */
        :: rEpoch != epoch || rServing != (state == serving) ->
             if :: rEpoch != epoch -> leadAge = AGE; mateAge = AGE :: else -> skip fi;
             rEpoch = epoch; rLead = lead; rMate = mate; rServing = (state == serving)
        :: rServing && asg[rLead] == rEpoch -> leadAge = 0
        :: rServing && asg[rMate] == rEpoch -> mateAge = 0
-       /* dispatch: rank 0 takes the request only at its own epoch; a restarted mate
-        * is noticed by the group; a mate at another epoch is what must never be */
+       /* dispatch: rank 0 accepts a request only for its own epoch. The group itself notices a
+        * restarted member; a member at another epoch must never occur. */
        :: rServing && FRESH && asg[rLead] == rEpoch -> assert(asg[rMate] == rEpoch || asg[rMate] == 0)
        fi;
        v = 0; a = 0
--- a/models/ledger.pml
+++ b/models/ledger.pml
@@ -1,15 +1,15 @@
-/* The claim ledger: promise 5, "a request marked as not repeatable runs at most
- * once". Two daemons claim the same key in one shard, a third writes other records
- * and rolls the log up. Each platform call is one atomic step; daemons are slow or
- * paused for any time between two; answers to a create may be lost; a claimant may
- * crash and come back with a new attempt. Names are those of package ledger: load,
- * tryAppend, readBack, confirm, compact, deleteLog.
+/* The claim ledger. Checks promise 5: "a request marked as not repeatable runs at most once".
+ *
+ * Two daemons claim the same key in one shard; a third appends other records and compacts the
+ * log. Each platform call is one atomic step. Daemons may pause for any time between two steps,
+ * answers to a create may be lost, and a claimant may crash and come back with a new attempt.
+ * Names are those of package ledger: load, tryAppend, readBack, confirm, compact, deleteLog.
  *
  * Mutants, each of which must be refuted:
- *   -DNO_CONFIRM  a create that succeeds is believed
- *   -DNO_GOOD     a view read from rolled-up numbers is believed
- *   -DNO_READBACK a lost answer is taken for "not written", and dispatched anyway
- *   -DDELETE_FIRST numbers are deleted before the snapshot that covers them
+ *   -DNO_CONFIRM  a successful create counts without reading the snapshot again
+ *   -DNO_GOOD     a view counts although its log numbers were compacted meanwhile
+ *   -DNO_READBACK a lost answer is not read back, and the request is dispatched
+ *   -DDELETE_FIRST log numbers are deleted before a snapshot covers them
  */
 #define MAXSEQ 3
 #define FILL 9          /* a batch without this key's claim */
@@ -17,20 +17,20 @@
 
 byte log[MAXSEQ + 2];
 byte snapUpTo, snapHold;
-byte granted;           /* how many attempts were told to dispatch */
+byte granted;           /* number of attempts that were allowed to dispatch */
 byte attempts;
 
 inline load() {
   atomic { seq = snapUpTo; hold = snapHold; good = snapUpTo }
 }
 
-/* fold a claim: the first holds */
+/* apply a claim to the view: the first claim holds */
 inline fold(c) {
   if :: hold == 0 && c != FILL -> hold = c :: else -> skip fi;
   seq++
 }
 
-/* append the batch `me`; ends with done set if it stands, or stuck at the end */
+/* append the batch `me`: sets done once it is in the log, or stuck if the log is full */
 inline append(me) {
   done = false; stuck = false;
   load();
@@ -99,7 +99,7 @@
   atomic {
     if
     :: attempts < ATTEMPTS -> attempts++; me = attempts
-    :: true -> me = FILL        /* other keys' records */
+    :: true -> me = FILL        /* records of other keys */
         fi
   }
   append(me);
@@ -111,12 +111,12 @@
     me = 0; done = false; stuck = false; seq = 0; hold = 0; good = 0
   }
   if
-  :: goto again         /* or it crashed and came back */
+  :: goto again         /* also stands for a crash and restart */
   :: skip
   fi
 }
 
-/* Writes other records and rolls the log up. Deletes may fail in any pattern. */
+/* Appends other records and compacts the log. Any of the deletes may fail. */
 proctype compactor() {
   byte seq, hold, good, next, answer, d, seen;
   bool done, stuck;
