--- a/internal/faultrun/faults.go
+++ b/internal/faultrun/faults.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// fault is one kind of fault: it breaks something, and repair mends it.
+// fault is one kind of fault. apply injects it and returns the function that repairs it
+// after duration.
 type fault struct {
-	name  string
-	holds time.Duration
-	apply func(ctx context.Context, s *system, r *rand.Rand) (repair func())
+	name     string
+	duration time.Duration
+	apply    func(ctx context.Context, s *system, r *rand.Rand) (repair func())
 }
 
-func nothing() {}
+func noRepair() {}
 
-// faults are the kinds that a schedule draws from.
+// faults lists the kinds from which a schedule draws.
 var faults = []fault{
 	{"daemon killed", time.Second, func(_ context.Context, s *system, r *rand.Rand) func() {
 		i := r.IntN(len(s.daemons))
@@ -31,35 +32,35 @@
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
 	{"platform outage", 3 * time.Second, func(ctx context.Context, s *system, _ *rand.Rand) func() {
-		fake(ctx, http.MethodPut, s.platform+"/fake/faults", `{"outage":true}`)
-		return func() { fake(ctx, http.MethodPut, s.platform+"/fake/faults", `{}`) }
+		setFault(ctx, http.MethodPut, s.platform+"/fake/faults", `{"outage":true}`)
+		return func() { setFault(ctx, http.MethodPut, s.platform+"/fake/faults", `{}`) }
 	}},
 	{"platform answers lost", time.Second, func(ctx context.Context, s *system, _ *rand.Rand) func() {
-		fake(ctx, http.MethodPut, s.platform+"/fake/faults", `{"lose_answers":4}`)
-		return func() { fake(ctx, http.MethodPut, s.platform+"/fake/faults", `{}`) }
+		setFault(ctx, http.MethodPut, s.platform+"/fake/faults", `{"lose_answers":4}`)
+		return func() { setFault(ctx, http.MethodPut, s.platform+"/fake/faults", `{}`) }
 	}},
 	{"platform slow", 2 * time.Second, func(ctx context.Context, s *system, _ *rand.Rand) func() {
-		fake(ctx, http.MethodPut, s.platform+"/fake/faults", `{"slow_ms":400}`)
-		return func() { fake(ctx, http.MethodPut, s.platform+"/fake/faults", `{}`) }
+		setFault(ctx, http.MethodPut, s.platform+"/fake/faults", `{"slow_ms":400}`)
+		return func() { setFault(ctx, http.MethodPut, s.platform+"/fake/faults", `{}`) }
 	}},
 	{"VM restarted", 0, func(ctx context.Context, s *system, r *rand.Rand) func() {
-		fake(ctx, http.MethodPost, "http://"+s.engines[r.IntN(len(s.engines))]+"/fake/restart", "")
-		return nothing
+		setFault(ctx, http.MethodPost, "http://"+s.engines[r.IntN(len(s.engines))]+"/fake/restart", "")
+		return noRepair
 	}},
 	{"streams cut", 0, func(ctx context.Context, s *system, _ *rand.Rand) func() {
 		for _, e := range s.engines {
-			fake(ctx, http.MethodPut, "http://"+e+"/fake/faults", `{"cut_after_tokens":4}`)
+			setFault(ctx, http.MethodPut, "http://"+e+"/fake/faults", `{"cut_after_tokens":4}`)
 		}
-		return nothing
+		return noRepair
 	}},
 	{"answers crossed", 0, func(ctx context.Context, s *system, r *rand.Rand) func() {
-		fake(ctx, http.MethodPut, "http://"+s.engines[r.IntN(len(s.engines))]+"/fake/faults", `{"cross_next":true}`)
-		return nothing
+		setFault(ctx, http.MethodPut, "http://"+s.engines[r.IntN(len(s.engines))]+"/fake/faults", `{"cross_next":true}`)
+		return noRepair
 	}},
 	{"engine leaving", 2 * time.Second, func(ctx context.Context, s *system, r *rand.Rand) func() {
 		e := "http://" + s.engines[r.IntN(len(s.engines))] + "/fake/faults"
-		fake(ctx, http.MethodPut, e, `{"leaving":true}`)
-		return func() { fake(ctx, http.MethodPut, e, `{}`) }
+		setFault(ctx, http.MethodPut, e, `{"leaving":true}`)
+		return func() { setFault(ctx, http.MethodPut, e, `{}`) }
 	}},
 	{"domain frozen", 3 * time.Second, func(_ context.Context, s *system, r *rand.Rand) func() {
 		p := s.procs["engines-"+domains[r.IntN(len(domains))]]
@@ -67,20 +68,21 @@
 		return func() { p.signal(syscall.SIGCONT) }
 	}},
 	{"service cuts answers", 0, func(ctx context.Context, s *system, _ *rand.Rand) func() {
-		fake(ctx, http.MethodPut, "http://"+s.service+"/fake/faults", `{"cut_next":3}`)
-		return nothing
+		setFault(ctx, http.MethodPut, "http://"+s.service+"/fake/faults", `{"cut_next":3}`)
+		return noRepair
 	}},
 	{"service slow", 2 * time.Second, func(ctx context.Context, s *system, _ *rand.Rand) func() {
-		fake(ctx, http.MethodPut, "http://"+s.service+"/fake/faults", `{"slow_ms":300}`)
-		return func() { fake(ctx, http.MethodPut, "http://"+s.service+"/fake/faults", `{}`) }
+		setFault(ctx, http.MethodPut, "http://"+s.service+"/fake/faults", `{"slow_ms":300}`)
+		return func() { setFault(ctx, http.MethodPut, "http://"+s.service+"/fake/faults", `{}`) }
 	}},
 }
 
-// betweenFaults is the mean time from one fault to the next; several may hold at
-// once.
-const betweenFaults = 1200 * time.Millisecond
+// meanFaultInterval is the mean time from one fault to the next; several may be in effect at
+// the same time.
+const meanFaultInterval = 1200 * time.Millisecond
 
-// inject draws and applies faults until the duration is over, then mends all.
+// inject draws and applies faults until duration has passed, then repairs all of them. A kind
+// is not drawn again while it is in effect.
 func inject(ctx context.Context, s *system, r *rand.Rand, duration time.Duration, report *Report) {
 	type due struct {
 		at     time.Time
@@ -95,9 +97,9 @@
 			repair := f.apply(ctx, s, r)
 			report.Faults = append(report.Faults, f.name)
 			busy[f.name] = true
-			repairs = append(repairs, due{time.Now().Add(f.holds), func() { repair(); busy[f.name] = false }})
+			repairs = append(repairs, due{time.Now().Add(f.duration), func() { repair(); busy[f.name] = false }})
 		}
-		wait := betweenFaults/2 + time.Duration(r.Int64N(int64(betweenFaults)))
+		wait := meanFaultInterval/2 + time.Duration(r.Int64N(int64(meanFaultInterval)))
 		until := time.Now().Add(wait)
 		for time.Now().Before(until) {
 			time.Sleep(20 * time.Millisecond)
@@ -115,10 +117,10 @@
 	}
 }
 
-// String renders what the run did and found.
+// String returns the counts in one line, followed by one line for each violation.
 func (r *Report) String() string {
 	out := fmt.Sprintf("seed %d: %d faults, %d streams (%d whole), %d at-most-once calls (%d answered, %d not run, %d may have run), %d changes accepted, %d violations",
-		r.Seed, len(r.Faults), r.Streams, r.Whole, r.Calls, r.Answered, r.NotRun, r.MayHaveRun, r.Accepted, len(r.Violations))
+		r.Seed, len(r.Faults), r.Streams, r.Complete, r.Calls, r.Answered, r.NotRun, r.MayHaveRun, r.Accepted, len(r.Violations))
 	for _, v := range r.Violations {
 		out += "\n  " + v
 	}
--- a/internal/faultrun/processes.go
+++ b/internal/faultrun/processes.go
@@ -1,7 +1,6 @@
-// Package faultrun runs the system as separate processes under a seeded schedule
-// of faults, with callers of both kinds and an operator, and judges the promises
-// from the stand-ins' own records. It is test equipment: nothing in the product
-// starts a process.
+// Package faultrun runs the system as separate processes under a seeded schedule of faults,
+// with callers of both kinds and an operator, and checks the system's promises against the
+// stand-ins' own records. It is used by tests only: the product itself starts no process.
 package faultrun
 
 import (
@@ -19,12 +18,12 @@
 	"github.com/juju/errors"
 )
 
-// Options of one run.
+// Options are the options of one run.
 type Options struct {
 	Binary   string // the pearlanding binary
-	Dir      string // for settings and logs
+	Dir      string // directory for settings and logs
 	Seed     uint64
-	Duration time.Duration // of the faults; starting and settling come on top
+	Duration time.Duration // time during which faults are injected; start and recovery take extra time
 	Daemons  int
 }
 
@@ -48,7 +47,7 @@
 	}
 }
 
-// kill ends the process at once and reaps it.
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	if p.cmd != nil {
@@ -56,16 +55,16 @@
 	}
 }
 
-// daemonAddr holds a daemon's listeners.
-type daemonAddr struct{ callers, operators, peers string }
+// daemonAddresses holds the listening addresses of a daemon, each IP:port.
+type daemonAddresses struct{ callers, operators, peers string }
 
-// system is all processes of a run.
+// system holds all processes of a run.
 type system struct {
 	opts     Options
 	platform string // URL
 	service  string // IP:port
 	engines  []string
-	daemons  []daemonAddr
+	daemons  []daemonAddresses
 	procs    map[string]*process
 }
 
@@ -90,7 +89,7 @@
 	return out, nil
 }
 
-// startSystem starts every process; stop ends them all.
+// startSystem starts every process. If one fails to start, it stops the others.
 func startSystem(o Options) (*system, error) {
 	s := &system{opts: o, procs: map[string]*process{}}
 	ports, err := freePorts(2 + 3*o.Daemons)
@@ -99,9 +98,9 @@
 	}
 	local := func(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 	s.platform, s.service = "http://"+local(ports[0]), local(ports[1])
-	err = s.run("platform", "standin", "platform", "--listen", local(ports[0]), "--writes", "0", "--weights-gb", "0")
+	err = s.startProcess("platform", "standin", "platform", "--listen", local(ports[0]), "--writes", "0", "--weights-gb", "0")
 	if err == nil {
-		err = s.run("service", "standin", "service", "--listen", s.service)
+		err = s.startProcess("service", "standin", "service", "--listen", s.service)
 	}
 	for _, domain := range domains {
 		if err == nil {
@@ -109,7 +108,7 @@
 		}
 	}
 	for i := range o.Daemons {
-		a := daemonAddr{local(ports[2+3*i]), local(ports[3+3*i]), local(ports[4+3*i])}
+		a := daemonAddresses{local(ports[2+3*i]), local(ports[3+3*i]), local(ports[4+3*i])}
 		s.daemons = append(s.daemons, a)
 		if err == nil {
 			err = s.startDaemon(i)
@@ -121,7 +120,7 @@
 	return s, err
 }
 
-func (s *system) run(name string, args ...string) error {
+func (s *system) startProcess(name string, args ...string) error {
 	log, err := os.OpenFile(filepath.Join(s.opts.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return errors.Trace(err)
@@ -131,26 +130,26 @@
 	return p.start(s.opts.Binary)
 }
 
-// startEngines starts a domain's VMs on ports that follow one another.
+// startEngines starts a domain's VMs on consecutive ports.
 func (s *system) startEngines(domain string) error {
 	for try := 0; try < 50; try++ {
 		first, err := freePorts(1)
 		if err != nil {
 			return err
 		}
-		if !allFree(first[0], vmsPerDomain) {
+		if !portsFree(first[0], vmsPerDomain) {
 			continue
 		}
 		for i := range vmsPerDomain {
 			s.engines = append(s.engines, fmt.Sprintf("127.0.0.1:%d", first[0]+i))
 		}
-		return s.run("engines-"+domain, "standin", "engines", "--prefix", domain+"-vm-", "--count", fmt.Sprint(vmsPerDomain),
+		return s.startProcess("engines-"+domain, "standin", "engines", "--prefix", domain+"-vm-", "--count", fmt.Sprint(vmsPerDomain),
 			"--port", fmt.Sprint(first[0]), "--domain", domain, "--token-time", "5ms", "--platform", s.platform)
 	}
-	return errors.New("no ports that follow one another are free")
+	return errors.New("no consecutive free ports found")
 }
 
-func allFree(first, n int) bool {
+func portsFree(first, n int) bool {
 	for i := range n {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first+i))
 		if err != nil {
@@ -169,7 +168,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return errors.Trace(err)
 	}
-	return s.run(daemonName(i), "serve", "--config", path)
+	return s.startProcess(daemonName(i), "serve", "--config", path)
 }
 
 func daemonName(i int) string { return fmt.Sprintf("entry-%d", i) }
@@ -182,16 +181,16 @@
 	}
 }
 
-// fakeClient gives up soon: the stand-in asked may be frozen by another fault.
-var fakeClient = &http.Client{Timeout: 500 * time.Millisecond}
+// faultClient has a short timeout because another fault may have frozen the stand-in.
+var faultClient = &http.Client{Timeout: 500 * time.Millisecond}
 
-// fake sends a fault to a stand-in's control endpoint.
-func fake(ctx context.Context, method, url, body string) {
+// setFault sends a fault to a stand-in's /fake endpoint and ignores errors.
+func setFault(ctx context.Context, method, url, body string) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return
 	}
-	if resp, err := fakeClient.Do(req); err == nil {
+	if resp, err := faultClient.Do(req); err == nil {
 		resp.Body.Close()
 	}
 }
--- a/internal/faultrun/run.go
+++ b/internal/faultrun/run.go
@@ -20,13 +20,13 @@
 	"pearlanding/internal/standin/enginefake"
 )
 
-// Report is what one run did and which promises it found broken.
+// Report holds the counts of one run and the promises that it found broken.
 type Report struct {
 	mu         sync.Mutex
 	Seed       uint64
 	Faults     []string
 	Streams    int
-	Whole      int
+	Complete   int
 	Calls      int
 	Answered   int
 	NotRun     int
@@ -47,26 +47,27 @@
 	*n++
 }
 
-// run is one run under way.
+// run is a run in progress.
 type run struct {
 	s      *system
 	report *Report
 	client *http.Client
-	// verdicts holds, by key, what callers were told last of at-most-once calls.
-	mu       sync.Mutex
-	verdicts map[string]string
-	accepted uint64
-	seen     map[int]uint64 // highest revision seen at each daemon
+	// outcomes holds by idempotency key what callers of at-most-once calls were told.
+	mu               sync.Mutex
+	outcomes         map[string]string
+	acceptedRevision uint64
+	seenRevisions    map[int]uint64 // highest revision seen at each daemon, by its index
 }
 
-// startTime bounds the start, settleTime the mending at the end.
+// startTimeout limits the start of the system, recoveryTimeout its recovery after the last
+// fault.
 const (
-	startTime  = 30 * time.Second
-	settleTime = 30 * time.Second
+	startTimeout    = 30 * time.Second
+	recoveryTimeout = 30 * time.Second
 )
 
-// Run makes one run. The error is for a run that could not be made; broken
-// promises are in the report.
+// Run makes one run. It returns an error if the run could not be made; broken promises are
+// in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	report := &Report{Seed: o.Seed}
 	s, err := startSystem(o)
@@ -74,25 +75,25 @@
 		return report, err
 	}
 	defer s.stop()
-	r := &run{s: s, report: report, client: &http.Client{Timeout: 15 * time.Second}, verdicts: map[string]string{}, seen: map[int]uint64{}}
+	r := &run{s: s, report: report, client: &http.Client{Timeout: 15 * time.Second}, outcomes: map[string]string{}, seenRevisions: map[int]uint64{}}
 	if err := r.prepare(ctx); err != nil {
-		return report, errors.Annotate(err, "the system did not begin to serve")
+		return report, errors.Annotate(err, "the system did not start serving")
 	}
 	load, stopLoad := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for worker := range 4 {
-		wg.Go(func() { r.streams(load, worker) })
-		wg.Go(func() { r.calls(load, worker) })
+		wg.Go(func() { r.sendStreams(load, worker) })
+		wg.Go(func() { r.sendCalls(load, worker) })
 	}
-	wg.Go(func() { r.changes(load) })
+	wg.Go(func() { r.makeChanges(load) })
 	inject(ctx, s, rand.New(rand.NewPCG(o.Seed, 1)), o.Duration, report)
-	err = r.serves(ctx, settleTime)
+	err = r.awaitServing(ctx, recoveryTimeout)
 	stopLoad()
 	wg.Wait()
 	if err != nil {
-		report.violation("after all faults were mended the system did not serve again: %v", err)
+		report.violation("the system did not serve again after all faults were repaired: %v", err)
 	}
-	r.judge(ctx)
+	r.checkRecords(ctx)
 	return report, nil
 }
 
@@ -106,7 +107,7 @@
 
 // prepare applies the configuration and waits until the system serves.
 func (r *run) prepare(ctx context.Context) error {
-	deadline := time.Now().Add(startTime)
+	deadline := time.Now().Add(startTimeout)
 	for {
 		_, err := operator.NewClient(r.s.daemons[0].operators, "", "faultrun").Apply(ctx, "run.ini", []byte(r.configuration()))
 		if err == nil {
@@ -117,16 +118,16 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return r.serves(ctx, time.Until(deadline))
+	return r.awaitServing(ctx, time.Until(deadline))
 }
 
-// serves waits until every daemon answers a whole stream.
-func (r *run) serves(ctx context.Context, within time.Duration) error {
+// awaitServing waits until every daemon has answered with a complete stream.
+func (r *run) awaitServing(ctx context.Context, within time.Duration) error {
 	deadline := time.Now().Add(within)
 	for i := range r.s.daemons {
-		for !r.stream(ctx, i, "is it serving", 3, false) {
+		for !r.sendStream(ctx, i, "is it serving", 3, false) {
 			if time.Now().After(deadline) {
-				return errors.Errorf("daemon %d gives no whole stream", i)
+				return errors.Errorf("daemon %d does not answer with a complete stream", i)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -146,16 +147,17 @@
 	return r.client.Do(req)
 }
 
-// streams sends streamed model requests to any daemon.
-func (r *run) streams(ctx context.Context, worker int) {
+// sendStreams sends streamed model requests to random daemons until ctx ends.
+func (r *run) sendStreams(ctx context.Context, worker int) {
 	for i := 0; ctx.Err() == nil; i++ {
-		r.stream(ctx, rand.IntN(len(r.s.daemons)), fmt.Sprintf("prompt %d of %d", i, worker), 4+rand.IntN(40), true)
+		r.sendStream(ctx, rand.IntN(len(r.s.daemons)), fmt.Sprintf("prompt %d of %d", i, worker), 4+rand.IntN(40), true)
 	}
 }
 
-// stream sends one request and tells whether its answer was whole. An answer that
-// looks whole must be exactly right, and one that is not must not look whole.
-func (r *run) stream(ctx context.Context, daemon int, prompt string, tokens int, counted bool) bool {
+// sendStream sends one request and reports whether its answer was complete. It reports a
+// violation if an answer that looks complete is not exactly right, or if a cut answer ends
+// like a complete one.
+func (r *run) sendStream(ctx context.Context, daemon int, prompt string, tokens int, counted bool) bool {
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, prompt)
 	if counted {
 		r.report.count(&r.report.Streams)
@@ -175,40 +177,42 @@
 	want := enginefake.Answer("\n"+prompt, tokens)
 	switch {
 	case done && text != want:
-		r.report.violation("promise 3: a stream that ended as whole was not: %d bytes of %d", len(text), len(want))
+		r.report.violation("promise 3: a stream that ended as complete was not: %d bytes of %d", len(text), len(want))
 	case !done && err == nil:
-		r.report.violation("promise 3: a cut stream ended like a whole transfer")
+		r.report.violation("promise 3: a cut stream ended like a complete transfer")
 	case !strings.HasPrefix(want, text):
-		r.report.violation("promise 3: a cut stream held other tokens than its own")
+		r.report.violation("promise 3: a cut stream contained tokens of another answer")
 	}
 	if done && counted {
-		r.report.count(&r.report.Whole)
+		r.report.count(&r.report.Complete)
 	}
 	return done
 }
 
-// calls sends at-most-once calls, each key up to three times through any daemon.
-func (r *run) calls(ctx context.Context, worker int) {
+// sendCalls sends at-most-once calls until ctx ends, each key up to three times through
+// random daemons.
+func (r *run) sendCalls(ctx context.Context, worker int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		key := fmt.Sprintf("key-%d-%d", worker, i)
-		verdict := "not_run"
+		keyOutcome := "not_run"
 		for range 3 {
-			told := r.callOnce(ctx, key)
-			if told != "not_run" {
-				verdict = told
+			outcome := r.sendCall(ctx, key)
+			if outcome != "not_run" {
+				keyOutcome = outcome
 			}
-			if told == "answered" {
+			if outcome == "answered" {
 				break
 			}
 		}
 		r.mu.Lock()
-		r.verdicts[key] = verdict
+		r.outcomes[key] = keyOutcome
 		r.mu.Unlock()
 	}
 }
 
-// callOnce makes one call and returns what the caller was told.
-func (r *run) callOnce(ctx context.Context, key string) string {
+// sendCall makes one call and returns what the caller was told: answered, not_run,
+// may_have_run or unknown.
+func (r *run) sendCall(ctx context.Context, key string) string {
 	r.report.count(&r.report.Calls)
 	resp, err := r.post(ctx, rand.IntN(len(r.s.daemons)), "/services/svc/crew-calls", "{}", key)
 	if err != nil {
@@ -238,9 +242,9 @@
 	return "may_have_run"
 }
 
-// changes edits the template through any daemon, and after each acceptance asks
-// every daemon that answers whether it admits under an older revision.
-func (r *run) changes(ctx context.Context) {
+// makeChanges edits the template through random daemons until ctx ends. After each edit it
+// checks that no daemon admits requests under a revision older than the last accepted one.
+func (r *run) makeChanges(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		client := operator.NewClient(r.s.daemons[rand.IntN(len(r.s.daemons))].operators, "", "faultrun")
 		callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
@@ -248,7 +252,7 @@
 			edited := strings.Replace(text, "priority = ", fmt.Sprintf("priority = %d\n;was ", i%10), 1)
 			if result, err := client.Apply(callCtx, "edit.ini", []byte(edited)); err == nil && result.Verdict == "accepted" {
 				r.report.count(&r.report.Accepted)
-				r.accepted = max(r.accepted, result.Revision)
+				r.acceptedRevision = max(r.acceptedRevision, result.Revision)
 			}
 		}
 		cancel()
@@ -258,7 +262,7 @@
 }
 
 func (r *run) checkRevisions(ctx context.Context) {
-	accepted := r.accepted
+	accepted := r.acceptedRevision
 	for i, d := range r.s.daemons {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		status, err := operator.NewClient(d.operators, "", "faultrun").Status(callCtx)
@@ -269,15 +273,15 @@
 		if status.Revision < accepted {
 			r.report.violation("promise 8: daemon %d admits under revision %d after %d was accepted", i, status.Revision, accepted)
 		}
-		if status.Revision < r.seen[i] {
-			r.report.violation("promise 8: daemon %d went back from revision %d to %d", i, r.seen[i], status.Revision)
+		if status.Revision < r.seenRevisions[i] {
+			r.report.violation("promise 8: daemon %d went back from revision %d to %d", i, r.seenRevisions[i], status.Revision)
 		}
-		r.seen[i] = max(r.seen[i], status.Revision)
+		r.seenRevisions[i] = max(r.seenRevisions[i], status.Revision)
 	}
 }
 
-// judge reads the stand-ins' own records.
-func (r *run) judge(ctx context.Context) {
+// checkRecords checks the stand-ins' own records against what callers were told.
+func (r *run) checkRecords(ctx context.Context) {
 	runs := map[string]int{}
 	if err := r.get(ctx, "http://"+r.s.service+"/fake/runs", &runs); err != nil {
 		r.report.violation("the service's record could not be read: %v", err)
@@ -287,12 +291,12 @@
 			r.report.violation("promise 5: %s ran %d times", key, n)
 		}
 	}
-	for key, verdict := range r.verdicts {
+	for key, outcome := range r.outcomes {
 		switch {
-		case verdict == "not_run" && runs[key] > 0:
-			r.report.violation("promise 4: %s was refused as not run, and ran", key)
-		case verdict == "answered" && runs[key] != 1:
-			r.report.violation("promise 5: %s was answered, and ran %d times", key, runs[key])
+		case outcome == "not_run" && runs[key] > 0:
+			r.report.violation("promise 4: %s was refused as not run, but ran", key)
+		case outcome == "answered" && runs[key] != 1:
+			r.report.violation("promise 5: %s was answered, but ran %d times", key, runs[key])
 		}
 	}
 	for _, e := range r.s.engines {
@@ -302,7 +306,7 @@
 		}
 		for _, one := range served {
 			if one.Partial && one.Complete {
-				r.report.violation("promise 1: group %s epoch %d served partly assembled", one.Group, one.Epoch)
+				r.report.violation("promise 1: group %s at epoch %d served while partly assembled", one.Group, one.Epoch)
 			}
 		}
 	}
--- a/internal/faultrun/run_test.go
+++ b/internal/faultrun/run_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestFixedSchedule is the short run of CI: one seed, separate processes, all
-// promises judged from the stand-ins' own records.
+// TestFixedSchedule is a short run with one seed. It guards against promises that break only
+// with separate processes and injected faults.
 func TestFixedSchedule(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "pearlanding")
@@ -23,7 +23,7 @@
 	must.NoError(t, err)
 	t.Log(report)
 	must.SliceEmpty(t, report.Violations)
-	must.Positive(t, report.Whole)
+	must.Positive(t, report.Complete)
 	must.Positive(t, report.Answered)
 	must.Positive(t, report.Accepted)
 }
