--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,8 +158,9 @@
 func (d *Daemon) Control() *control.Control { return d.control }
 
 // Run serves on the listeners, which it closes, until ctx ends. Then it stops admitting,
-// releases its slot, drains the requests in progress and returns nil. It returns an error
-// earlier if another process takes its slot (ErrSuperseded) or a listener fails.
+// releases its slot, drains the requests in progress up to the drain deadline and returns nil.
+// It returns an error earlier if another process takes its slot (ErrSuperseded) or a listener
+// fails.
 func (d *Daemon) Run(ctx context.Context, listeners *Listeners) error {
 	d.serveHTTP(listeners)
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/embedded/answers_test.go
+++ b/internal/embedded/answers_test.go
@@ -15,12 +15,15 @@
 	"pearlanding/internal/standin/servicefake"
 )
 
-func TestWholePath(t *testing.T) {
+// TestRequestsEndToEnd guards against wrong answers on the path from caller to engine or
+// service: incomplete or foreign answers that look complete, and at-most-once requests that
+// run twice.
+func TestRequestsEndToEnd(t *testing.T) {
 	s := start(t, Options{Daemons: 2})
 	for _, d := range s.Daemons {
 		r := send(d, chatPath, chat("berth", 12, true))
-		text, whole := enginefake.JoinStream(r.body)
-		must.True(t, whole)
+		text, complete := enginefake.JoinStream(r.body)
+		must.True(t, complete)
 		must.Eq(t, answerTo("berth", 12), text)
 		must.Eq(t, Place, r.header.Get("Pearlanding-Place"))
 		must.NotEq(t, "", r.header.Get("Pearlanding-Epoch"))
@@ -29,13 +32,13 @@
 		must.Eq(t, http.StatusOK, r.status)
 		must.StrContains(t, r.body, answerTo("berth", 12))
 	}
-	t.Run("refusals", func(t *testing.T) { refusals(t, s.Daemons[0]) })
-	t.Run("crossed and cut", func(t *testing.T) { crossedAndCut(t, s) })
-	t.Run("at most once", func(t *testing.T) { atMostOnce(t, s) })
-	judge(t, s)
+	t.Run("refusals", func(t *testing.T) { checkRefusals(t, s.Daemons[0]) })
+	t.Run("crossed and cut", func(t *testing.T) { checkCrossedAndCutAnswers(t, s) })
+	t.Run("at most once", func(t *testing.T) { checkAtMostOnce(t, s) })
+	checkEngineRecords(t, s)
 }
 
-func refusals(t *testing.T, d *Running) {
+func checkRefusals(t *testing.T, d *RunningDaemon) {
 	for _, tc := range []struct {
 		path, body string
 		headers    []string
@@ -60,9 +63,10 @@
 	}
 }
 
-// crossedAndCut: with one replica only, what can't be completed is told as such.
-func crossedAndCut(t *testing.T, s *System) {
-	d, engine := s.Daemons[0], lead(t, s).Engine
+// checkCrossedAndCutAnswers checks that with a single replica, a cut answer or one with
+// another request's id is reported as a failure that may have run.
+func checkCrossedAndCutAnswers(t *testing.T, s *System) {
+	d, engine := s.Daemons[0], leadVM(t, s).Engine
 	engine.SetFaults(enginefake.Faults{CrossNext: true})
 	r := send(d, chatPath, chat("crossed", 4, false))
 	must.Eq(t, http.StatusBadGateway, r.status)
@@ -77,10 +81,10 @@
 
 	engine.SetFaults(enginefake.Faults{CutAfterTokens: 3})
 	r = send(d, chatPath, chat("cut", 9, true))
-	text, whole := enginefake.JoinStream(r.body)
-	must.False(t, whole)
+	text, complete := enginefake.JoinStream(r.body)
+	must.False(t, complete)
 	must.Eq(t, answerTo("cut", 3), text)
-	must.Error(t, r.err, must.Sprint("a cut stream must not end as a whole one does"))
+	must.Error(t, r.err, must.Sprint("a cut stream must not end like a complete one"))
 	must.StrContains(t, r.body, "event: error")
 
 	engine.SetFaults(enginefake.Faults{CutAfterTokens: 3})
@@ -88,12 +92,12 @@
 	must.Eq(t, http.StatusBadGateway, r.status)
 
 	r = send(d, chatPath, chat("cut", 9, true), "Pearlanding-Resume-From", "3")
-	text, whole = enginefake.JoinStream(r.body)
-	must.True(t, whole)
+	text, complete = enginefake.JoinStream(r.body)
+	must.True(t, complete)
 	must.Eq(t, strings.TrimPrefix(answerTo("cut", 9), answerTo("cut", 3)), text)
 }
 
-func atMostOnce(t *testing.T, s *System) {
+func checkAtMostOnce(t *testing.T, s *System) {
 	path := "/services/" + Service + "/crew-calls"
 	t.Run("repeat gets the recorded answer", func(t *testing.T) {
 		first := send(s.Daemons[0], path, `{"tug":"Atlas"}`, "Idempotency-Key", "k1")
@@ -125,8 +129,8 @@
 	})
 	t.Run("model request", func(t *testing.T) {
 		first := send(s.Daemons[0], chatPath, chat("once", 5, true), "Idempotency-Key", "m1", "Pearlanding-Repeat", "never")
-		_, whole := enginefake.JoinStream(first.body)
-		must.True(t, whole)
+		_, complete := enginefake.JoinStream(first.body)
+		must.True(t, complete)
 		again := send(s.Daemons[1], chatPath, chat("once", 5, true), "Idempotency-Key", "m1", "Pearlanding-Repeat", "never")
 		one, _ := enginefake.JoinStream(first.body)
 		two, _ := enginefake.JoinStream(again.body)
@@ -138,33 +142,33 @@
 	}
 }
 
-// TestResumeElsewhere: with a second replica a cut stream is completed there, and
-// the caller gets exactly the tokens it misses.
-func TestResumeElsewhere(t *testing.T) {
+// TestResumeOnAnotherReplica guards against lost or repeated tokens when a cut stream is
+// resumed on a second replica.
+func TestResumeOnAnotherReplica(t *testing.T) {
 	s := start(t, Options{Daemons: 1, VMs: 4, GroupSize: 2, Replicas: 2})
 	for _, vm := range s.VMs {
-		vm.Engine.SetFaults(enginefake.Faults{CutAfterTokens: 5}) // the rest of three is not cut
+		vm.Engine.SetFaults(enginefake.Faults{CutAfterTokens: 5}) // the remaining three tokens are not cut
 	}
 	r := send(s.Daemons[0], chatPath, chat("resume", 8, true))
-	text, whole := enginefake.JoinStream(r.body)
-	must.True(t, whole, must.Sprint(r.body))
+	text, complete := enginefake.JoinStream(r.body)
+	must.True(t, complete, must.Sprint(r.body))
 	must.Eq(t, answerTo("resume", 8), text)
-	judge(t, s)
+	checkEngineRecords(t, s)
 }
 
-// TestDeadlineEndsARequestAtOnce: what can't be finished within the deadline is
-// told so when the deadline passes, and the engine stops working on it.
-func TestDeadlineEndsARequestAtOnce(t *testing.T) {
+// TestRequestEndsAtItsDeadline guards against requests that run past their deadline: the
+// caller must be answered when it passes, and the engine must stop the request.
+func TestRequestEndsAtItsDeadline(t *testing.T) {
 	s := start(t, Options{Daemons: 1, VMs: 1, GroupSize: 1, Adjust: map[string]string{"limits.deadline": "1s"}})
 	r := send(s.Daemons[0], chatPath, chat("too long", 1000, false))
 	must.Eq(t, http.StatusGatewayTimeout, r.status)
 	must.Eq(t, problem.CodeDeadline, r.problem.Code)
 	must.Eq(t, problem.MayHaveRun, r.problem.Outcome)
-	engine := lead(t, s).Engine
+	engine := leadVM(t, s).Engine
 	await(t, s.Daemons[0], "the engine is free again", func(*control.Snapshot) bool { return engine.Status().Running == 0 })
 
 	r = send(s.Daemons[0], chatPath, chat("too long", 1000, true))
-	_, whole := enginefake.JoinStream(r.body)
-	must.False(t, whole)
+	_, complete := enginefake.JoinStream(r.body)
+	must.False(t, complete)
 	must.StrContains(t, r.body, string(problem.CodeDeadline))
 }
--- a/internal/embedded/bench_test.go
+++ b/internal/embedded/bench_test.go
@@ -17,18 +17,19 @@
 	"pearlanding/internal/engine"
 )
 
-// The benchmarks measure a daemon between a caller and the stand-in against the
-// caller and the stand-in alone, in one run of one process, so only the ratios and
-// differences speak. docs/MEASUREMENTS.md quotes them.
+// The benchmarks compare requests through a daemon with requests sent directly to the
+// stand-in. Everything runs in one process, so only ratios and differences are meaningful.
+// docs/MEASUREMENTS.md quotes them.
 
-// benchSystem brings up one daemon before a group of one VM.
+// benchSystem starts one daemon with a group of one VM.
 func benchSystem(b *testing.B, slots int, tokenTime time.Duration) *System {
 	b.Helper()
-	return benchOf(b, Options{Daemons: 1, VMs: 1, GroupSize: 1, Slots: slots, TokenTime: tokenTime})
+	return startBench(b, Options{Daemons: 1, VMs: 1, GroupSize: 1, Slots: slots, TokenTime: tokenTime})
 }
 
-// benchOf brings a system up that serves, and takes it down with the benchmark.
-func benchOf(b *testing.B, o Options) *System {
+// startBench starts a system, waits until it serves, and stops it at the end of the
+// benchmark.
+func startBench(b *testing.B, o Options) *System {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	s, err := Start(ctx, o)
@@ -41,7 +42,7 @@
 			<-d.Done
 		}
 	})
-	waitCtx, stop := context.WithTimeout(ctx, patience)
+	waitCtx, stop := context.WithTimeout(ctx, testTimeout)
 	defer stop()
 	if err := s.WaitServing(waitCtx); err != nil {
 		b.Fatal(err)
@@ -49,27 +50,28 @@
 	return s
 }
 
-// caller sends one kind of request to one place.
-type caller struct {
+// benchClient sends requests with the same headers to one URL.
+type benchClient struct {
 	client *http.Client
 	url    string
 	header http.Header
 }
 
-func newCaller(url string, header http.Header) *caller {
-	return &caller{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}, url: url, header: header}
+func newBenchClient(url string, header http.Header) *benchClient {
+	return &benchClient{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}, url: url, header: header}
 }
 
-// callers returns one through the daemon and one straight to rank 0.
-func callers(s *System) (through, direct *caller) {
+// benchClients returns a client that sends through the daemon and one that sends directly to
+// rank 0.
+func benchClients(s *System) (through, direct *benchClient) {
 	t := s.Daemons[0].Control().Snapshot().Targets[Pool][0]
-	through = newCaller("http://"+s.Daemons[0].Settings.Listen.Callers+chatPath, http.Header{"Authorization": {"Bearer " + Token}})
-	direct = newCaller("http://"+t.Address+chatPath, http.Header{
+	through = newBenchClient("http://"+s.Daemons[0].Settings.Listen.Callers+chatPath, http.Header{"Authorization": {"Bearer " + Token}})
+	direct = newBenchClient("http://"+t.Address+chatPath, http.Header{
 		engine.HeaderGroup: {t.Group}, engine.HeaderEpoch: {strconv.FormatUint(t.Epoch, 10)}, engine.HeaderRequestID: {"direct"}})
 	return through, direct
 }
 
-func (c *caller) open(body string) (*http.Response, error) {
+func (c *benchClient) open(body string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, c.url, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -78,7 +80,7 @@
 	return c.client.Do(req)
 }
 
-func (c *caller) call(body string) error {
+func (c *benchClient) call(body string) error {
 	resp, err := c.open(body)
 	if err != nil {
 		return err
@@ -91,9 +93,10 @@
 	return err
 }
 
-// openLoop sends n requests at a fixed rate whether or not answers come, counts
-// each from the moment it was due, and returns the times in order.
-func openLoop(c *caller, n int, perSecond float64, body string) ([]time.Duration, int64) {
+// openLoop sends n requests at a fixed rate, whether or not earlier ones were answered. It
+// returns the sorted times, each measured from when the request was due, and the number of
+// failures.
+func openLoop(c *benchClient, n int, perSecond float64, body string) ([]time.Duration, int64) {
 	times := make([]time.Duration, n)
 	var failed atomic.Int64
 	var wg sync.WaitGroup
@@ -101,7 +104,7 @@
 	for i := range n {
 		due := start.Add(time.Duration(float64(i) / perSecond * float64(time.Second)))
 		time.Sleep(time.Until(due) - 2*time.Millisecond)
-		for time.Now().Before(due) { // the timer alone would add up to a millisecond
+		for time.Now().Before(due) { // a timer alone can be late by up to a millisecond
 			runtime.Gosched()
 		}
 		wg.Go(func() {
@@ -120,10 +123,11 @@
 	return float64(sorted[int(float64(len(sorted)-1)*p)].Microseconds()) / 1000
 }
 
-// BenchmarkAddedLatency: 1,000 short requests a second, through and direct.
+// BenchmarkAddedLatency measures the latency that a daemon adds at 1,000 short requests a
+// second.
 func BenchmarkAddedLatency(b *testing.B) {
 	s := benchSystem(b, 4096, time.Nanosecond)
-	through, direct := callers(s)
+	through, direct := benchClients(s)
 	body := chat("latency", 1, false)
 	openLoop(through, 500, 1000, body)
 	openLoop(direct, 500, 1000, body)
@@ -139,12 +143,12 @@
 	}
 }
 
-// BenchmarkThroughput: short requests by 64 callers without a pause.
+// BenchmarkThroughput measures requests a second with 64 concurrent callers.
 func BenchmarkThroughput(b *testing.B) {
 	s := benchSystem(b, 4096, time.Nanosecond)
-	through, direct := callers(s)
+	through, direct := benchClients(s)
 	body := chat("throughput", 1, false)
-	for name, c := range map[string]*caller{"through": through, "direct": direct} {
+	for name, c := range map[string]*benchClient{"through": through, "direct": direct} {
 		b.Run(name, func(b *testing.B) {
 			var failed atomic.Int64
 			b.SetParallelism(64 / runtime.GOMAXPROCS(0))
@@ -161,15 +165,14 @@
 	}
 }
 
-// BenchmarkTokenDelay: the time a token takes through the daemon, from when the
-// stand-in writes it. Both read the same stream times: the stand-in paces tokens,
-// so the gap between a token's arrival and its pace is compared.
+// BenchmarkTokenDelay measures the delay that a daemon adds to streamed tokens. The stand-in
+// writes tokens at a fixed pace, so the gaps between arrivals are compared.
 func BenchmarkTokenDelay(b *testing.B) {
 	const tokens, gap = 400, 5 * time.Millisecond
 	s := benchSystem(b, 64, gap)
-	through, direct := callers(s)
+	through, direct := benchClients(s)
 	body := chat("tokens", tokens, true)
-	first := func(c *caller) []time.Duration {
+	measureGaps := func(c *benchClient) []time.Duration {
 		resp, err := c.open(body)
 		if err != nil {
 			b.Fatal(err)
@@ -195,7 +198,7 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		d, t := first(direct), first(through)
+		d, t := measureGaps(direct), measureGaps(through)
 		b.ReportMetric(float64(len(t))/float64(len(d)), "reads-ratio")
 		b.ReportMetric(percentile(d, 0.5), "direct-gap-p50-ms")
 		b.ReportMetric(percentile(t, 0.5)-percentile(d, 0.5), "added-gap-p50-ms")
@@ -203,15 +206,15 @@
 	}
 }
 
-// BenchmarkStreamMemory: memory of the whole process for each open stream, caller
-// and stand-in included, through and direct; the difference is the daemon's.
+// BenchmarkStreamMemory measures the process's memory for each open stream, with the caller
+// and the stand-in included; the difference between through and direct is the daemon's.
 func BenchmarkStreamMemory(b *testing.B) {
 	const streams = 1000
 	s := benchSystem(b, 2*streams, 100*time.Millisecond)
-	through, direct := callers(s)
+	through, direct := benchClients(s)
 	body := chat("memory", 1000, true)
-	perStream := func(c *caller) float64 {
-		before := inUse()
+	perStream := func(c *benchClient) float64 {
+		before := memoryInUse()
 		open := make([]*http.Response, streams)
 		var wg sync.WaitGroup
 		for i := range open {
@@ -229,7 +232,7 @@
 		if b.Failed() {
 			b.FailNow()
 		}
-		after := inUse()
+		after := memoryInUse()
 		for _, resp := range open {
 			resp.Body.Close()
 		}
@@ -245,19 +248,20 @@
 	}
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkAccept: time from an operator's edit to in force at every daemon.
+// BenchmarkAccept measures the time from an operator's change until it is in force at every
+// daemon.
 func BenchmarkAccept(b *testing.B) {
 	for _, daemons := range []int{3, 9, 18} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
 			ctx := context.Background()
-			s := benchOf(b, Options{Daemons: daemons})
+			s := startBench(b, Options{Daemons: daemons})
 			var times []time.Duration
 			b.ResetTimer()
 			for i := range b.N {
@@ -282,14 +286,14 @@
 	}
 }
 
-// BenchmarkPlatformCalls: calls a second of an idle system, which must not grow
-// with the number of daemons (TestPollersDoNotGrowWithTheFleet is the proof; the
-// rate itself depends on how loaded the machine is).
+// BenchmarkPlatformCalls measures the platform calls a second of an idle system. They must
+// not grow with the number of daemons, which a test of package control checks; the rate
+// depends on the load of the machine.
 func BenchmarkPlatformCalls(b *testing.B) {
 	const window = 4 * time.Second
 	for _, daemons := range []int{3, 9, 30} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
-			s := benchOf(b, Options{Daemons: daemons})
+			s := startBench(b, Options{Daemons: daemons})
 			for range b.N {
 				before := s.Platform.Calls()
 				time.Sleep(window)
--- a/internal/embedded/embedded.go
+++ b/internal/embedded/embedded.go
@@ -1,5 +1,5 @@
-// Package embedded runs the whole system in one process on loopback: stand-ins
-// and daemons. It serves `pearlanding dev` and the tests.
+// Package embedded runs stand-ins and daemons in one process on loopback, for
+// `pearlanding dev` and for tests.
 package embedded
 
 import (
@@ -22,7 +22,7 @@
 	"pearlanding/internal/standin/servicefake"
 )
 
-// What the embedded configuration is called.
+// Names in the embedded configuration, and a request body for its model.
 const (
 	Token    = "harbour-tug-dispatch"
 	Service  = "app-portuario"
@@ -38,42 +38,42 @@
 // Options describe the embedded system.
 type Options struct {
 	Daemons int
-	// VMs is the number of engine VMs; 0 means 5: a group of four and a spare.
+	// VMs is the number of engine VMs; 0 means 5: a group of four and one spare.
 	VMs       int
 	GroupSize int // 0 means 4
 	Replicas  int // 0 means 1
 	Slots     int // of each engine; 0 means 8
 	TokenTime time.Duration
-	// Adjust changes the INI settings of each daemon, as lines "section.key".
+	// Adjust sets INI settings of each daemon; its keys have the form "section.key".
 	Adjust map[string]string
 	Log    *zap.Logger
 }
 
-// Running is one daemon of the system.
-type Running struct {
+// RunningDaemon is one daemon of the system.
+type RunningDaemon struct {
 	*daemon.Daemon
 	Settings settings.Settings
-	Stop     context.CancelFunc // clean stop
-	Done     chan error
+	Stop     context.CancelFunc // starts a clean stop
+	Done     chan error         // receives the result of Daemon.Run
 
-	listeners *daemon.Listeners
-	ended     context.CancelCauseFunc // ends whoever waits for it to be ready
-	life      context.Context
+	listeners   *daemon.Listeners
+	endLifetime context.CancelCauseFunc // ends lifetime with the daemon's error as its cause
+	lifetime    context.Context
 }
 
 // System is a running embedded system.
 type System struct {
-	Options     Options
-	Platform    *platformfake.Store
-	PlatformURL string
-	VMs         []*standin.VM
-	Service     *servicefake.Service
-	ServiceAt   string
-	Daemons     []*Running
-	ctx         context.Context
+	Options        Options
+	Platform       *platformfake.Store
+	PlatformURL    string
+	VMs            []*standin.VM
+	Service        *servicefake.Service
+	ServiceAddress string
+	Daemons        []*RunningDaemon
+	ctx            context.Context
 }
 
-// Start brings the stand-ins and daemons up; all end with ctx.
+// Start starts the stand-ins and daemons; all stop when ctx ends.
 func Start(ctx context.Context, o Options) (*System, error) {
 	o.VMs, o.GroupSize, o.Replicas = orDefault(o.VMs, 5), orDefault(o.GroupSize, 4), orDefault(o.Replicas, 1)
 	if o.TokenTime == 0 {
@@ -120,13 +120,13 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	s.ServiceAt = listener.Addr().String()
+	s.ServiceAddress = listener.Addr().String()
 	go func() { _ = standin.Serve(ctx, listener, s.Service.Handler()) }()
 	return nil
 }
 
 // AddDaemon starts one more daemon.
-func (s *System) AddDaemon() (*Running, error) {
+func (s *System) AddDaemon() (*RunningDaemon, error) {
 	r, err := s.prepareDaemon()
 	if err != nil {
 		return nil, err
@@ -136,8 +136,8 @@
 	return r, nil
 }
 
-// prepareDaemon makes one more daemon with its listeners open.
-func (s *System) prepareDaemon() (*Running, error) {
+// prepareDaemon creates one more daemon and opens its listeners.
+func (s *System) prepareDaemon() (*RunningDaemon, error) {
 	listeners, err := daemon.Listen(settings.Listen{Callers: anyPort, Operators: anyPort, Peers: anyPort})
 	if err != nil {
 		return nil, err
@@ -153,33 +153,33 @@
 		log = zap.NewNop()
 	}
 	d := daemon.New(parsed, objectapi.NewClient(s.PlatformURL, parsed.Platform.Timeout), log)
-	return &Running{Daemon: d, Settings: parsed, Done: make(chan error, 1), listeners: listeners}, nil
+	return &RunningDaemon{Daemon: d, Settings: parsed, Done: make(chan error, 1), listeners: listeners}, nil
 }
 
 // launch runs the daemon until ctx ends or Stop is called.
-func (r *Running) launch(ctx context.Context) {
+func (r *RunningDaemon) launch(ctx context.Context) {
 	ctx, r.Stop = context.WithCancel(ctx)
-	r.life, r.ended = context.WithCancelCause(context.WithoutCancel(ctx))
+	r.lifetime, r.endLifetime = context.WithCancelCause(context.WithoutCancel(ctx))
 	go func() {
 		err := r.Run(ctx, r.listeners)
-		r.ended(errors.Annotate(err, "daemon ended"))
+		r.endLifetime(errors.Annotate(err, "daemon ended"))
 		r.Done <- err
 	}()
 }
 
-// Ready waits until the daemon admits requests. The error tells why it ended, if
-// it did.
-func (r *Running) Ready(ctx context.Context) error {
+// Ready waits until the daemon admits requests. If the daemon ends first, the error is the
+// one that it ended with.
+func (r *RunningDaemon) Ready(ctx context.Context) error {
 	waiting, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer context.AfterFunc(r.life, func() { cancel(context.Cause(r.life)) })()
+	defer context.AfterFunc(r.lifetime, func() { cancel(context.Cause(r.lifetime)) })()
 	if err := r.Daemon.Ready(waiting); err != nil {
 		return errors.Annotate(context.Cause(waiting), "daemon not ready")
 	}
 	return nil
 }
 
-// anyPort is a loopback address whose port the system chooses.
+// anyPort is a loopback address with a port chosen by the operating system.
 const anyPort = "127.0.0.1:0"
 
 func (s *System) settingsText(n int, l *daemon.Listeners) string {
@@ -193,7 +193,7 @@
 		"platform": {"url": s.PlatformURL},
 	}
 	for at, value := range s.Options.Adjust {
-		section, key := splitAt(at)
+		section, key := splitKey(at)
 		if values[section] == nil {
 			values[section] = map[string]string{}
 		}
@@ -209,7 +209,7 @@
 	return text
 }
 
-func splitAt(at string) (section, key string) {
+func splitKey(at string) (section, key string) {
 	for i := range at {
 		if at[i] == '.' {
 			return at[:i], at[i+1:]
@@ -218,7 +218,7 @@
 	return at, ""
 }
 
-// Configuration is the embedded configuration as an operator would write it.
+// Configuration returns the embedded configuration as an INI text.
 func (s *System) Configuration() string {
 	return fmt.Sprintf(`[template pearl-despacho]
 model = despacho-70b
@@ -241,16 +241,16 @@
 
 [workspace despacho model %s]
 template = pearl-despacho
-`, s.Options.GroupSize, s.Options.Replicas, Place, Service, Place, s.ServiceAt, tokenDigest, Place, Service, Model)
+`, s.Options.GroupSize, s.Options.Replicas, Place, Service, Place, s.ServiceAddress, tokenDigest, Place, Service, Model)
 }
 
-// Operator returns a client of a daemon's operators' interface.
-func (r *Running) Operator() *operator.Client {
+// Operator returns a client of the daemon's operators' interface.
+func (r *RunningDaemon) Operator() *operator.Client {
 	return operator.NewClient(r.Settings.Listen.Operators, "", "embedded")
 }
 
-// WaitServing applies the configuration and waits until every daemon admits
-// requests and sees all replicas serve.
+// WaitServing applies the configuration and waits until every daemon admits requests and
+// knows all replicas as serving.
 func (s *System) WaitServing(ctx context.Context) error {
 	for _, d := range s.Daemons {
 		if err := d.Ready(ctx); err != nil {
--- a/internal/embedded/faults_test.go
+++ b/internal/embedded/faults_test.go
@@ -20,8 +20,9 @@
 	"pearlanding/internal/standin/platformfake"
 )
 
-// TestPlatformOutage: serving goes on through an outage that outlasts every lease;
-// what needs the platform is refused at once as not run, and comes back with it.
+// TestPlatformOutage guards against daemons that stop serving in a platform outage longer
+// than every lease. Requests that need the platform must be refused as not run, and served
+// again after the outage.
 func TestPlatformOutage(t *testing.T) {
 	s := start(t, Options{Daemons: 3})
 	s.Platform.SetFaults(platformfake.Faults{Outage: true})
@@ -36,7 +37,7 @@
 		must.Eq(t, problem.NotRun, r.problem.Outcome)
 		must.NotEq(t, "", r.header.Get("Retry-After"))
 	}
-	// Half of the daemons die in the outage: the others go on.
+	// A daemon stops during the outage; the others keep serving.
 	s.Daemons[2].Stop()
 	<-s.Daemons[2].Done
 	s.Daemons[2].Done <- nil
@@ -52,9 +53,9 @@
 	must.Eq(t, 1, s.Service.Runs()["outage"])
 }
 
-// TestMemberDeath reports the times from a VM's death to: group not dispatched to,
-// group declared down, group serving again; and that another group never served
-// partly assembled. The times are logged, the verdict does not rest on them.
+// TestMemberDeath guards against a group that stays down, or serves partly assembled, after
+// one of its VMs failed. It logs the times until the group gets no requests, is declared
+// down, and serves again; the result does not depend on them.
 func TestMemberDeath(t *testing.T) {
 	s := start(t, Options{Daemons: 3})
 	d := s.Daemons[0]
@@ -78,16 +79,16 @@
 	r := send(d, chatPath, chat("again", 9, false))
 	must.Eq(t, http.StatusOK, r.status, must.Sprint(r.body))
 
-	// The dead one comes back as though nothing had happened: it joins nothing.
+	// The VM restarts and must not join a group by itself.
 	must.NoError(t, victim.Boot())
 	r = send(d, chatPath, chat("again", 9, false))
 	must.Eq(t, http.StatusOK, r.status)
-	judge(t, s)
+	checkEngineRecords(t, s)
 }
 
-// leaves runs a request through a leave and asserts that it is not cut, that no
-// new work is sent, and that the group serves again without the VM.
-func leaves(t *testing.T, s *System, leave func(vm string)) {
+// checkLeave starts a request, makes its VM leave, and checks that the request is not cut,
+// that the VM gets no new work, and that the group serves again without the VM.
+func checkLeave(t *testing.T, s *System, leave func(vm string)) {
 	t.Helper()
 	d := s.Daemons[1]
 	target := d.Control().Snapshot().Targets[Pool][0]
@@ -108,8 +109,8 @@
 	r := send(d, chatPath, chat("refused", 2, false))
 	must.True(t, r.status == http.StatusOK || r.problem.Outcome == problem.NotRun)
 	wg.Wait()
-	text, whole := enginefake.JoinStream(long.body)
-	must.True(t, whole, must.Sprint("a planned stop cut a request", long.err))
+	text, complete := enginefake.JoinStream(long.body)
+	must.True(t, complete, must.Sprint("a request was cut by a planned leave", long.err))
 	must.Eq(t, answerTo("long", 200), text)
 	snap := await(t, d, "serving without it", func(snap *control.Snapshot) bool {
 		return len(snap.Targets[Pool]) == 1 && snap.Targets[Pool][0].Epoch > target.Epoch
@@ -117,13 +118,14 @@
 	for _, m := range snap.Domains[Domain].Domain.Groups[snap.Targets[Pool][0].Group].Members {
 		must.NotEq(t, vm.Row.Name, m.VM)
 	}
-	judge(t, s)
+	checkEngineRecords(t, s)
 }
 
+// TestLeaveByOperator guards against requests cut by an operator's drain.
 func TestLeaveByOperator(t *testing.T) {
 	s := start(t, Options{Daemons: 3})
-	leaves(t, s, func(vm string) {
-		// Two operators drain the same VM at once: both are told it is draining.
+	checkLeave(t, s, func(vm string) {
+		// Two operators drain the same VM at once: both calls succeed.
 		var wg sync.WaitGroup
 		for _, d := range s.Daemons[:2] {
 			wg.Go(func() {
@@ -135,17 +137,19 @@
 	})
 }
 
+// TestLeaveByPlatformList guards against requests cut when the platform's list marks a VM as
+// leaving.
 func TestLeaveByPlatformList(t *testing.T) {
 	s := start(t, Options{Daemons: 3})
-	leaves(t, s, func(vm string) { s.Platform.SetVMState(vm, objectapi.VMLeaving) })
+	checkLeave(t, s, func(vm string) { s.Platform.SetVMState(vm, objectapi.VMLeaving) })
 }
 
-// TestLeaveByEngineInOutage: an engine that says it is leaving gets nothing new
-// though the platform is down.
+// TestLeaveByEngineInOutage guards against new work for an engine that reports that it is
+// leaving while the platform is unavailable.
 func TestLeaveByEngineInOutage(t *testing.T) {
 	s := start(t, Options{Daemons: 3})
 	s.Platform.SetFaults(platformfake.Faults{Outage: true})
-	vm := lead(t, s)
+	vm := leadVM(t, s)
 	visible := time.Now()
 	vm.Engine.SetFaults(enginefake.Faults{Leaving: true})
 	for _, d := range s.Daemons {
@@ -156,15 +160,15 @@
 	must.Eq(t, problem.CodeNoReplica, r.problem.Code)
 }
 
-// TestDaemonStopCutsNothing: a stopped daemon finishes its streams, and is out of
-// the registry before it ends.
-func TestDaemonStopCutsNothing(t *testing.T) {
+// TestStoppingDaemonFinishesItsRequests guards against streams cut by a clean stop, and
+// against a daemon that ends before it has left the registry.
+func TestStoppingDaemonFinishesItsRequests(t *testing.T) {
 	s := start(t, Options{Daemons: 2})
 	d := s.Daemons[1]
 	var wg sync.WaitGroup
 	var long reply
 	wg.Go(func() { long = send(d, chatPath, chat("stop", 150, true)) })
-	vm := lead(t, s)
+	vm := leadVM(t, s)
 	await(t, d, "request in progress", func(*control.Snapshot) bool { return vm.Engine.Status().Running > 0 })
 	d.Stop()
 	await(t, s.Daemons[0], "left the registry", func(snap *control.Snapshot) bool { return len(snap.Peers) == 1 })
@@ -172,34 +176,34 @@
 	must.True(t, r.err != nil || r.problem.Code == problem.CodeStopping, must.Sprint(r))
 	must.NoError(t, <-d.Done)
 	d.Done <- nil
-	must.Eq(t, int64(0), d.InFlight(), must.Sprint("ended before its requests had"))
+	must.Eq(t, int64(0), d.InFlight(), must.Sprint("the daemon ended before its requests"))
 	wg.Wait()
-	text, whole := enginefake.JoinStream(long.body)
-	must.True(t, whole)
+	text, complete := enginefake.JoinStream(long.body)
+	must.True(t, complete)
 	must.Eq(t, answerTo("stop", 150), text)
 }
 
-// TestConfigurationRace: of two operators who edit the same entry one wins, and
-// the other is told; a change is in force at every daemon when it is accepted.
+// TestConfigurationRace guards against a lost update when two operators edit the same entry:
+// one change must be accepted and in force at every daemon, the other refused as a conflict.
 func TestConfigurationRace(t *testing.T) {
 	s := start(t, Options{Daemons: 3})
 	ctx := context.Background()
 	_, err := operator.NewClient("127.0.0.1:1", "", "").Status(ctx)
-	must.ErrorIs(t, err, operator.ErrUnreachable, must.Sprint("nothing was sent, so nothing is unknown"))
-	ref, err := s.Daemons[0].Operator().Entry(ctx, ref("template", "pearl-despacho"))
+	must.ErrorIs(t, err, operator.ErrUnreachable, must.Sprint("nothing was sent, so the outcome is known"))
+	text, err := s.Daemons[0].Operator().Entry(ctx, ref("template", "pearl-despacho"))
 	must.NoError(t, err)
 	var wg sync.WaitGroup
-	verdicts := make([]error, 2)
+	errs := make([]error, 2)
 	results := make([]operator.ChangeResult, 2)
 	for i := range 2 {
-		edited := strings.Replace(ref, "priority = 5", "priority = "+string('7'+byte(i)), 1)
+		edited := strings.Replace(text, "priority = 5", "priority = "+string('7'+byte(i)), 1)
 		wg.Go(func() {
-			results[i], verdicts[i] = s.Daemons[i].Operator().Apply(ctx, "edit.ini", []byte(edited))
+			results[i], errs[i] = s.Daemons[i].Operator().Apply(ctx, "edit.ini", []byte(edited))
 		})
 	}
 	wg.Wait()
-	must.True(t, (verdicts[0] == nil) != (verdicts[1] == nil), must.Sprint(verdicts))
-	for i, err := range verdicts {
+	must.True(t, (errs[0] == nil) != (errs[1] == nil), must.Sprint(errs))
+	for i, err := range errs {
 		if err == nil {
 			must.Eq(t, "accepted", string(results[i].Verdict))
 			for _, d := range s.Daemons {
@@ -215,8 +219,8 @@
 	}
 }
 
-// TestConfigurationWithLostAnswer: the platform's answer to the write is lost; the
-// change is found again and accepted once.
+// TestConfigurationWithLostAnswer guards against a change that is lost or made twice when the
+// platform's answer to its write is lost.
 func TestConfigurationWithLostAnswer(t *testing.T) {
 	s := start(t, Options{Daemons: 2})
 	ctx := context.Background()
@@ -230,12 +234,11 @@
 	must.Eq(t, before+1, result.Revision)
 }
 
-// TestAllDaemonsReplaced: every daemon is replaced by one of another name, one
-// after another; a change is accepted after each, none is ever lost, and requests
-// are served all along.
+// TestAllDaemonsReplaced guards against lost changes and requests when every daemon is
+// replaced, one after another, by one with another name.
 func TestAllDaemonsReplaced(t *testing.T) {
 	s := start(t, Options{Daemons: 2})
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	for i := range 2 {
 		old := s.Daemons[i]
@@ -260,5 +263,5 @@
 	snap := s.Daemons[3].Control().Snapshot()
 	must.Eq(t, 7, snap.Head.Doc.Templates["pearl-despacho"].Priority)
 	must.Eq(t, []string{"entry-3", "entry-4"}, snap.Head.Slots())
-	judge(t, s)
+	checkEngineRecords(t, s)
 }
--- a/internal/embedded/harness_test.go
+++ b/internal/embedded/harness_test.go
@@ -23,11 +23,11 @@
 	"pearlanding/internal/standin/enginefake"
 )
 
-// patience bounds every wait of these tests; reaching it is a failure, and no
-// test's verdict depends on how much of it is used.
-const patience = 30 * time.Second
+// testTimeout limits every wait of these tests. Reaching it is a failure; no result depends
+// on how much of it is used.
+const testTimeout = 30 * time.Second
 
-// start brings a system up that serves, and takes it down with the test.
+// start starts a system, waits until it serves, and stops it at the end of the test.
 func start(t *testing.T, o Options) *System {
 	t.Helper()
 	if o.Log == nil {
@@ -42,34 +42,34 @@
 			<-d.Done
 		}
 	})
-	waitCtx, stop := context.WithTimeout(ctx, patience)
+	waitCtx, stop := context.WithTimeout(ctx, testTimeout)
 	defer stop()
 	must.NoError(t, s.WaitServing(waitCtx))
 	return s
 }
 
-// await waits for a snapshot of a daemon that satisfies ok.
-func await(t *testing.T, d *Running, what string, ok func(*control.Snapshot) bool) *control.Snapshot {
+// await waits for a snapshot of a daemon for which ok returns true.
+func await(t *testing.T, d *RunningDaemon, what string, ok func(*control.Snapshot) bool) *control.Snapshot {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	snap, err := d.Control().Await(ctx, ok)
 	must.NoError(t, err, must.Sprint(what))
 	return snap
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as its caller received it.
 type reply struct {
 	status  int
 	header  http.Header
 	body    string
-	err     error // reading the body failed: the answer was cut
+	err     error // from sending the request or reading the body, for example a cut answer
 	problem problem.Problem
 }
 
-// send makes one caller's request through a daemon.
-func send(d *Running, path, body string, headers ...string) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// send sends one caller's request to a daemon; headers are pairs of name and value.
+func send(d *RunningDaemon, path, body string, headers ...string) reply {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Settings.Listen.Callers+path, strings.NewReader(body))
 	if err != nil {
@@ -94,16 +94,16 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chat is a request for n tokens.
+// chat returns the body of a chat request for n tokens.
 func chat(prompt string, n int, stream bool) string {
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, Model, stream, n, prompt)
 }
 
-// answerTo is the right answer to a chat with one message.
+// answerTo returns the correct answer to a chat with one message.
 func answerTo(prompt string, n int) string { return enginefake.Answer("\n"+prompt, n) }
 
-// lead returns the VM of rank 0 of the only serving group.
-func lead(t *testing.T, s *System) *standin.VM {
+// leadVM returns the VM at rank 0 of the first serving group.
+func leadVM(t *testing.T, s *System) *standin.VM {
 	t.Helper()
 	snap := s.Daemons[0].Control().Snapshot()
 	must.SliceNotEmpty(t, snap.Targets[Pool])
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// judge asserts from the engines' own records that no partly assembled group
-// ever began to serve.
-func judge(t *testing.T, s *System) {
+// checkEngineRecords checks in the engines' own records that no partly assembled group
+// completed a request.
+func checkEngineRecords(t *testing.T, s *System) {
 	t.Helper()
 	for _, vm := range s.VMs {
 		for _, r := range vm.Engine.Served() {
@@ -134,7 +134,7 @@
 
 func ref(kind, name string) catalog.Ref { return catalog.Ref{Kind: catalog.Kind(kind), Name: name} }
 
-// logOnFailure returns a logger whose lines are printed if the test fails.
+// logOnFailure returns a logger whose lines are printed only if the test fails.
 func logOnFailure(t *testing.T) *zap.Logger {
 	var mu sync.Mutex
 	var lines bytes.Buffer
--- a/internal/embedded/listen_test.go
+++ b/internal/embedded/listen_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAddressesOfADaemonStayItsOwn: nobody else can take a daemon's address
-// between the choice of it and the daemon's start.
-func TestAddressesOfADaemonStayItsOwn(t *testing.T) {
+// TestDaemonHoldsItsAddressesFromCreation guards against another process that takes a
+// daemon's address between the choice of the port and the daemon's start.
+func TestDaemonHoldsItsAddressesFromCreation(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s, err := Start(ctx, Options{})
@@ -26,16 +26,16 @@
 		}
 	}
 	prepared.launch(ctx)
-	ready, stop := context.WithTimeout(ctx, patience)
+	ready, stop := context.WithTimeout(ctx, testTimeout)
 	defer stop()
 	must.NoError(t, prepared.Ready(ready))
 	cancel()
 	must.NoError(t, <-prepared.Done)
 }
 
-// TestReadyTellsWhyADaemonEnded: whoever waits for a daemon that ended is told its
-// error at once, not that the wait took too long.
-func TestReadyTellsWhyADaemonEnded(t *testing.T) {
+// TestReadyReturnsTheErrorOfAnEndedDaemon guards against a timeout in place of the daemon's
+// own error when the daemon ends before it is ready.
+func TestReadyReturnsTheErrorOfAnEndedDaemon(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s, err := Start(ctx, Options{})
@@ -44,10 +44,10 @@
 	must.NoError(t, err)
 	must.NoError(t, prepared.listeners.Peers.Close())
 	prepared.launch(ctx)
-	ready, stop := context.WithTimeout(ctx, patience)
+	ready, stop := context.WithTimeout(ctx, testTimeout)
 	defer stop()
 	began := time.Now()
 	err = prepared.Ready(ready)
 	must.ErrorContains(t, err, "closed")
-	must.Less(t, patience, time.Since(began))
+	must.Less(t, testTimeout, time.Since(began))
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -103,7 +103,7 @@
 	return out, c.call(ctx, http.MethodGet, "/operator/v1/groups", nil, &out)
 }
 
-// Status returns the system as the asked daemon knows it.
+// Status returns the system as the answering daemon knows it.
 func (c *Client) Status(ctx context.Context) (StatusView, error) {
 	var out StatusView
 	return out, c.call(ctx, http.MethodGet, "/operator/v1/status", nil, &out)
--- a/internal/standin/enginefake/answer.go
+++ b/internal/standin/enginefake/answer.go
@@ -65,7 +65,7 @@
 
 // JoinStream joins the tokens of an event stream as a caller's client does, and reports
 // whether the stream ended with its final marker.
-func JoinStream(body string) (text string, whole bool) {
+func JoinStream(body string) (text string, complete bool) {
 	for line := range strings.Lines(body) {
 		data, ok := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !ok {
--- a/internal/standin/enginefake/engine.go
+++ b/internal/standin/enginefake/engine.go
@@ -22,7 +22,7 @@
 	Leaving        bool `json:"leaving"`
 	CutAfterTokens int  `json:"cut_after_tokens"` // cut the next stream after n tokens
 	CrossNext      bool `json:"cross_next"`       // the next answer carries another request's id
-	CrossBody      bool `json:"cross_body"`       // ... in its body only, not in its header
+	CrossBody      bool `json:"cross_body"`       // as CrossNext, but only in the body, not in the header
 	SlowMS         int  `json:"slow_ms"`          // extra time per token
 	ReportLagMS    int  `json:"report_lag_ms"`    // age of the reported load
 }
