--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -30,7 +30,7 @@
 }
 
 // errCallerGone: the caller closed its connection.
-const errCallerGone = errors.ConstError("api: caller is gone")
+const errCallerGone = errors.ConstError("api: caller disconnected")
 
 // consume delivers the answer of one attempt.
 func (r *relay) consume(resp *http.Response, d *destination) error {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -70,7 +70,7 @@
 func New(s settings.Settings, store objectapi.Store, log *zap.Logger) *Daemon {
 	silenceHTTPLog()
 	tele := telemetry.New()
-	counted := objectapi.Counted(store, tele.Set)
+	counted := objectapi.NewCountedStore(store, tele.Set)
 	incarnation := uuid.NewString()
 	gate := admission.NewGate()
 	log = log.With(zap.String("daemon", s.Daemon.Name))
