--- a/internal/api/generate.go
+++ b/internal/api/generate.go
@@ -39,7 +39,7 @@
 	if len(g.Messages) == 0 && len(g.Prompt) == 0 {
 		return problem.New(http.StatusBadRequest, problem.CodeBadRequest, "one of messages and prompt is required")
 	}
-	pool, use, ok := x.snap.Head.Doc.PoolFor(x.ws, g.Model)
+	pool, modelUse, ok := x.snap.Head.Doc.PoolFor(x.ws, g.Model)
 	if !ok {
 		return problem.New(http.StatusNotFound, problem.CodeNoSuchModel, "workspace %s has no model %q", x.workspace, g.Model)
 	}
@@ -61,7 +61,7 @@
 		consume:    r.consume,
 		retryable:  func() bool { return true },
 	}
-	k.prepare = func(h http.Header, d *destination) { a.setEngineHeaders(h, x, d, use.Adapter, r) }
+	k.prepare = func(h http.Header, d *destination) { a.setEngineHeaders(h, x, d, modelUse.Adapter, r) }
 	k.choose = func(exclude []string, now time.Time) *destination {
 		return a.chooseReplica(x, pool, router.PrefixHash(x.workspace, promptOf(g)), exclude, now)
 	}
@@ -117,8 +117,8 @@
 	return g.Prompt
 }
 
-// setEngineHeaders sets the headers by which the engine checks that the attempt is for
-// its group and epoch.
+// setEngineHeaders sets the headers of one attempt: the ids, the group and epoch that the
+// engine checks against its own, and how the engine is to run the request.
 func (a *API) setEngineHeaders(h http.Header, x *exchange, d *destination, adapter string, r *relay) {
 	h.Set(engine.HeaderRequestID, x.id)
 	h.Set(engine.HeaderGroup, d.name)
@@ -158,20 +158,21 @@
 		load: t.Load(), candidates: len(permitted), onSend: func() { t.Sent.Add(1) }}
 }
 
-// refuseOverload returns a problem if even the least loaded permitted replica has more
-// load than the workspace's class may add to.
+// refuseOverload returns a problem if even the least loaded permitted replica is loaded
+// above the limit of the workspace's class. Such a request is refused at once, because it
+// would not be served in time.
 func (a *API) refuseOverload(x *exchange, pool string) *problem.Problem {
 	permitted, _ := a.permitted(x, pool, nil, time.Now())
 	if len(permitted) == 0 {
 		return a.noDestination(1, false)
 	}
-	least := permitted[0].Load()
+	lowestLoad := permitted[0].Load()
 	for _, t := range permitted {
-		least = min(least, t.Load())
+		lowestLoad = min(lowestLoad, t.Load())
 	}
-	if retry, shed := admission.Shed(x.ws.Class, least, a.serviceTime.Mean()); shed {
+	if retryAfter, overloaded := admission.Shed(x.ws.Class, lowestLoad, a.serviceTime.Mean()); overloaded {
 		return problem.New(http.StatusTooManyRequests, problem.CodeOverloaded,
-			"every permitted replica is loaded beyond what class %s may add to", x.ws.Class).After(retry)
+			"every permitted replica is loaded beyond what class %s may add to", x.ws.Class).After(retryAfter)
 	}
 	return nil
 }
--- a/internal/api/recent.go
+++ b/internal/api/recent.go
@@ -7,7 +7,7 @@
 	"pearlanding/internal/problem"
 )
 
-// Attempt is one send of a request to an upstream, as shown to operators.
+// Attempt is one attempt to send a request to an upstream, as shown to operators.
 type Attempt struct {
 	Group      string        `json:"group"`
 	Epoch      uint64        `json:"epoch,omitempty"`
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -122,7 +122,7 @@
 	ws         catalog.Workspace
 	metrics    *telemetry.Workspace
 	attemptLog attemptLog
-	// replied is set once the response has started; a later problem can't be sent.
+	// replied is set once the response has started, so that its status and headers are sent.
 	replied bool
 }
 
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// refuse logs a problem and writes it, unless the answer has started already.
+// refuse logs a problem and sends it as the response, unless the response has started.
 func (a *API) refuse(x *exchange, p *problem.Problem) {
 	p.RequestID = x.id
 	a.Telemetry.Refused(x.workspace, p)
@@ -235,10 +235,10 @@
 		MaxConcurrent: x.ws.MaxConcurrent, RatePerSecond: x.ws.RatePerSecond,
 		Daemons: len(x.snap.Live), OthersInUse: x.snap.OthersInUse[x.workspace],
 	}
-	release, retry, ok := a.Gate.Enter(x.workspace, limits, time.Now())
+	release, retryAfter, ok := a.Gate.Enter(x.workspace, limits, time.Now())
 	if !ok {
 		return nil, problem.New(http.StatusTooManyRequests, problem.CodeWorkspaceLimit,
-			"workspace %s has reached its limit", x.workspace).After(retry)
+			"workspace %s has reached its limit", x.workspace).After(retryAfter)
 	}
 	return release, nil
 }
