--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -33,7 +33,8 @@
 }
 
 // ProblemError is a problem that the daemon answered with, and its details by code:
-// Findings with CodeInvalid, Conflicts with CodeConflict, ChangeID with CodeUnknownWrite.
+// Findings with CodeInvalid, Conflicts with CodeConflict for a configuration change,
+// ChangeID with CodeUnknownWrite.
 type ProblemError struct {
 	problem.Problem
 	Findings  []findings.Finding `json:"-"`
@@ -175,4 +176,4 @@
 }
 
 // Error implements error.
-func (r *ProblemError) Error() string { return r.Problem.Error() }
+func (e *ProblemError) Error() string { return e.Problem.Error() }
--- a/internal/operator/intent.go
+++ b/internal/operator/intent.go
@@ -21,7 +21,7 @@
 	Version uint64       `json:"version"` // of the domain object
 	Group   string       `json:"group,omitempty"`
 	// Running is how many requests the group had in progress when the intent was
-	// written; these are finished.
+	// written; the group completes them.
 	Running int `json:"running"`
 }
 
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -22,8 +22,8 @@
 	Address      string       `json:"address"`
 	Accelerators int          `json:"accelerators"`
 	Intent       group.Intent `json:"intent,omitempty"`
-	Leaving      bool         `json:"leaving,omitempty"`
-	Gone         bool         `json:"gone,omitempty"`
+	Leaving      bool         `json:"leaving,omitempty"` // the platform is about to remove the VM
+	Gone         bool         `json:"gone,omitempty"`    // the platform no longer lists the VM
 	Group        string       `json:"group,omitempty"`
 	GroupState   group.State  `json:"group_state,omitempty"`
 	// Running is how many requests the VM's group has in progress, by its last report.
@@ -106,7 +106,7 @@
 	Revision      uint64            `json:"revision"`
 	Incarnation   string            `json:"incarnation"`
 	Place         string            `json:"place"`
-	LastContactMS int64             `json:"heard_ms_ago"` // -1: never
+	LastContactMS int64             `json:"heard_ms_ago"` // age of the last contact; -1: none
 }
 
 // DomainView summarises one fabric domain.
