--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -207,8 +207,8 @@
 	Peers     net.Listener
 }
 
-// Listen opens all three listeners. It returns an error if an address is in use, and then
-// leaves none open.
+// Listen opens all three listeners. It returns an error if one can't be opened, for example
+// because its address is in use, and then leaves none open.
 func Listen(addresses settings.Listen) (*Listeners, error) {
 	l := &Listeners{}
 	for _, open := range []struct {
@@ -263,8 +263,8 @@
 	d.log.Info("stopping", zap.Int64("in_flight", d.api.InFlight()))
 	for d.api.InFlight() > 0 && sleep(ctx, drainPollInterval) {
 	}
-	if left := d.api.InFlight(); left > 0 {
-		d.log.Warn("drain deadline passed; requests in progress are aborted", zap.Int64("in_flight", left))
+	if remaining := d.api.InFlight(); remaining > 0 {
+		d.log.Warn("drain deadline passed; requests in progress are aborted", zap.Int64("in_flight", remaining))
 	}
 	for _, s := range []*server.Hertz{d.callers, d.operators} {
 		_ = s.Close()
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -21,7 +21,7 @@
 // platform. Its loops only send and receive; package control makes the decisions.
 type membership struct {
 	cfg       control.Config
-	member    revision.Member
+	member    revision.Member // this daemon's entry in the registry
 	timing    membershipTiming
 	store     objectapi.Store
 	control   *control.Control
@@ -44,29 +44,29 @@
 }
 
 // note records the result of a sync call.
-func (a *peerResponses) note(slot string, sent, ended time.Time, err error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	since, silent := a.silentSince[slot]
+func (r *peerResponses) note(slot string, sent, ended time.Time, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	since, silent := r.silentSince[slot]
 	switch {
 	case err != nil && !silent:
-		a.silentSince[slot] = sent
-		a.log.Info("peer does not answer", zap.String("peer", slot), zap.Int64("waited_ms", ended.Sub(sent).Milliseconds()), zap.Error(err))
+		r.silentSince[slot] = sent
+		r.log.Info("peer does not answer", zap.String("peer", slot), zap.Int64("waited_ms", ended.Sub(sent).Milliseconds()), zap.Error(err))
 	case err == nil && silent:
-		delete(a.silentSince, slot)
-		a.log.Info("peer answers again", zap.String("peer", slot), zap.Int64("silent_ms", ended.Sub(since).Milliseconds()),
+		delete(r.silentSince, slot)
+		r.log.Info("peer answers again", zap.String("peer", slot), zap.Int64("silent_ms", ended.Sub(since).Milliseconds()),
 			zap.Int64("took_ms", ended.Sub(sent).Milliseconds()))
 	}
 }
 
 type membershipTiming struct {
-	sync        time.Duration
-	lease       time.Duration
-	forgetAfter time.Duration
+	sync        time.Duration // interval of the loops
+	lease       time.Duration // term of the admission lease
+	forgetAfter time.Duration // silence after which a slot is removed
 }
 
-// syncPeersPerRound is how many random peers one round of sync calls asks; the state of
-// the others arrives through them.
+// syncPeersPerRound is how many random peers are called in one round; they pass on what
+// they know of the others.
 const syncPeersPerRound = 8
 
 // syncLoop calls random peers every sync interval until ctx ends.
@@ -261,7 +261,7 @@
 }
 
 // remove removes a slot from the registry if that incarnation still holds it. stopped
-// reports that its process has stopped admitting for good.
+// is true if its process has stopped admitting for good.
 func (m *membership) remove(ctx context.Context, slot, incarnation string, stopped bool) {
 	sent := time.Now()
 	head, version, err := revision.Commit(ctx, m.store, func(h revision.Head) (revision.Head, error) {
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -46,13 +46,13 @@
 // records itself.
 func (f *recordForwarder) Forward(ctx context.Context, shard int, records []ledger.Record) ([]ledger.Entry, bool, error) {
 	snap := f.control.Snapshot()
-	preferred := snap.Owner(ledger.Duty(shard))
-	if preferred == "" || preferred == snap.Slot {
+	owner := snap.Owner(ledger.Duty(shard))
+	if owner == "" || owner == snap.Slot {
 		return nil, false, nil
 	}
 	var reply cluster.AppendReply
 	request := cluster.AppendRequest{Shard: shard, Records: records}
-	err := f.peers.Call(ctx, snap.Peers[preferred].Peer, cluster.MethodAppend, request, &reply)
+	err := f.peers.Call(ctx, snap.Peers[owner].Peer, cluster.MethodAppend, request, &reply)
 	if err == nil && reply.Full {
 		err = ledger.ErrFull
 	}
