--- a/internal/revision/accept.go
+++ b/internal/revision/accept.go
@@ -23,7 +23,7 @@
 type ack struct {
 	incarnation string
 	revision    uint64
-	since       time.Time // when Note first recorded that revision for that process
+	since       time.Time // when this daemon first noted that revision for that process
 }
 
 // Acks records which slots have applied which revision, and decides whether the head's is
@@ -65,12 +65,12 @@
 		accounted = accounted && contacts[slot].processGone() && contacts[slot].Refused.After(own.since)
 	}
 	outlivedFence := func(slot string) bool {
-		k := a.slots[slot]
+		acked := a.slots[slot]
 		last := contacts[slot]
 		if slot == self {
-			last = Hearing{Incarnation: k.incarnation, At: now}
+			last = Hearing{Incarnation: acked.incarnation, At: now}
 		}
-		return k.revision >= head.Revision && last.Incarnation == k.incarnation && last.At.Sub(k.since) >= Fence(term)
+		return acked.revision >= head.Revision && last.Incarnation == acked.incarnation && last.At.Sub(acked.since) >= Fence(term)
 	}
 	if accounted || head.quorum(outlivedFence) {
 		return VerdictAccepted, nil
--- a/internal/revision/head.go
+++ b/internal/revision/head.go
@@ -158,8 +158,8 @@
 	return out
 }
 
-// quorum reports whether the slots for which has is true form a strict majority of both
-// registries of the head.
+// quorum reports whether the slots for which has returns true form a strict majority of
+// both registries, AcceptedSlots and Members.
 func (h Head) quorum(has func(slot string) bool) bool {
 	return majority(h.AcceptedSlots, has) && majority(h.Slots(), has)
 }
