--- a/cmd/faultrun/main.go
+++ b/cmd/faultrun/main.go
@@ -1,5 +1,5 @@
 // Command faultrun runs the system as separate processes under injected faults, once for
-// each seed. It exits 1 if a run finds a broken promise.
+// each seed. It exits 1 if a run reports a violation of the system's guarantees.
 package main
 
 import (
--- a/cmd/pearlanding/main.go
+++ b/cmd/pearlanding/main.go
@@ -61,6 +61,7 @@
 // action returns a kingpin action that runs a command's function and keeps its exit code.
 type action func(f func(context.Context) int) kingpin.Action
 
+// fail prints the error and returns exitFailed.
 func fail(err error) int {
 	fmt.Fprintln(os.Stderr, err)
 	return exitFailed
--- a/cmd/pearlanding/operate.go
+++ b/cmd/pearlanding/operate.go
@@ -143,8 +143,8 @@
 
 // printError prints why a call failed and returns the exit code.
 func (f operatorFlags) printError(err error) int {
-	var refused *operator.ProblemError
-	if !errors.As(err, &refused) {
+	var problemErr *operator.ProblemError
+	if !errors.As(err, &problemErr) {
 		fmt.Fprintln(os.Stderr, err)
 		if errors.Is(err, operator.ErrNoAnswer) {
 			return exitUnknown
@@ -152,20 +152,20 @@
 		return exitFailed
 	}
 	if *f.output == "json" {
-		fmt.Println(string(refused.Body()))
+		fmt.Println(string(problemErr.Body()))
 	}
-	fmt.Fprintln(os.Stderr, refused)
-	for _, finding := range refused.Findings {
+	fmt.Fprintln(os.Stderr, problemErr)
+	for _, finding := range problemErr.Findings {
 		fmt.Fprintln(os.Stderr, " ", finding)
 	}
-	for _, c := range refused.Conflicts {
+	for _, c := range problemErr.Conflicts {
 		fmt.Fprintf(os.Stderr, "  %s %s: edited at revision %d, now at %d by %s\n", c.Ref.Kind, c.Ref.Name, c.Expect, c.Current, c.By)
 	}
 	switch {
-	case refused.Code == problem.CodeConflict:
+	case problemErr.Code == problem.CodeConflict:
 		return exitConflict
-	case refused.Outcome == problem.MayHaveRun:
-		fmt.Fprintf(os.Stderr, "  ask with: pearlanding change get %s\n", refused.ChangeID)
+	case problemErr.Outcome == problem.MayHaveRun:
+		fmt.Fprintf(os.Stderr, "  ask with: pearlanding change get %s\n", problemErr.ChangeID)
 		return exitUnknown
 	}
 	return exitFailed
--- a/cmd/pearlanding/serve.go
+++ b/cmd/pearlanding/serve.go
@@ -53,7 +53,7 @@
 
 func addCheck(app *kingpin.Application, run action) {
 	cmd := app.Command("check", "Check settings, templates, workspaces and services; print all findings at once.")
-	files := cmd.Arg("file", "INI files; configuration files are checked together as one configuration.").Required().ExistingFiles()
+	files := cmd.Arg("file", "INI files. A file with a [daemon] section is checked as settings; all others together as one configuration.").Required().ExistingFiles()
 	cmd.Action(run(func(context.Context) int { return checkFiles(*files) }))
 }
 
--- a/cmd/platformsoak/main.go
+++ b/cmd/platformsoak/main.go
@@ -1,5 +1,5 @@
 // Command platformsoak runs soak tests of daemons on the users' platform, one for each
-// seed. It exits 1 if a run finds a broken promise.
+// seed. It exits 1 if a run reports a violation of the system's guarantees.
 package main
 
 import (
