--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -51,11 +51,11 @@
 
 // Peers keeps one connection to each peer address. Safe for concurrent use.
 type Peers struct {
-	// Dial connects to a peer; set before the first call.
+	// Dial connects to a peer. It may be replaced before the first call.
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 	timeout time.Duration
 	mu      sync.Mutex
-	clients map[string]*jrpc2.Client
+	clients map[string]*jrpc2.Client // by address
 }
 
 // NewPeers returns a client without connections. Each call takes at most timeout.
