--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -72,7 +72,7 @@
 // Planner holds the placement policy. The weights apply to the time that groups are down
 // and to accelerators in no serving group.
 type Planner struct {
-	Policy          string
+	Policy          string // repair or rebuild
 	DowntimeWeight  float64
 	StrandedWeight  float64
 	SparesPerDomain int // VMs kept free to replace failed members
@@ -80,8 +80,8 @@
 
 // Routing holds the routing policy.
 type Routing struct {
-	Policy string
-	Subset int // replicas considered for one prompt prefix
+	Policy string // affinity, random, round-robin or least
+	Subset int    // replicas considered for one prompt prefix
 }
 
 // Ledger holds the limits of the ledger of at-most-once requests.
