--- a/internal/standin/enginefake/engine.go
+++ b/internal/standin/enginefake/engine.go
@@ -20,7 +20,7 @@
 type Faults struct {
 	IgnoreFence    bool `json:"ignore_fence"`
 	Leaving        bool `json:"leaving"`
-	CutAfterTokens int  `json:"cut_after_tokens"` // cut the next stream after n tokens
+	CutAfterTokens int  `json:"cut_after_tokens"` // cut the next answer after n tokens
 	CrossNext      bool `json:"cross_next"`       // the next answer carries another request's id
 	CrossBody      bool `json:"cross_body"`       // as CrossNext, but only in the body, not in the header
 	SlowMS         int  `json:"slow_ms"`          // extra time per token
@@ -57,20 +57,20 @@
 	opts Options
 	http *http.Client
 
-	mu      sync.Mutex
-	bootID  string
-	state   engine.State
-	assign  *engine.Assignment
-	loaded  engine.Weights
-	fence   uint64
-	running int
-	queue   requestQueue
-	faults  Faults
-	served  []Served
-	cancels map[string]context.CancelFunc
-	cache   prefixCache
-	reports []loadReport
-	loading context.CancelFunc
+	mu            sync.Mutex
+	bootID        string
+	state         engine.State
+	assign        *engine.Assignment
+	loaded        engine.Weights
+	fence         uint64 // highest fence seen in an order
+	running       int
+	queue         requestQueue
+	faults        Faults
+	served        []Served
+	cancels       map[string]context.CancelFunc // of the running requests, by request id
+	cache         prefixCache
+	reports       []loadReport // for Faults.ReportLagMS, oldest first
+	cancelLoading context.CancelFunc
 }
 
 type loadReport struct {
@@ -98,8 +98,8 @@
 	for _, cancel := range e.cancels {
 		cancel()
 	}
-	if e.loading != nil {
-		e.loading()
+	if e.cancelLoading != nil {
+		e.cancelLoading()
 	}
 	e.bootID, e.state, e.assign, e.loaded, e.fence = uuid.NewString(), engine.StateIdle, nil, engine.Weights{}, 0
 }
@@ -161,9 +161,9 @@
 	if sameAssignment(e.assign, o.Assignment) {
 		return true
 	}
-	if e.loading != nil {
-		e.loading()
-		e.loading = nil
+	if e.cancelLoading != nil {
+		e.cancelLoading()
+		e.cancelLoading = nil
 	}
 	e.assign = o.Assignment
 	if e.assign == nil {
@@ -176,7 +176,7 @@
 	}
 	e.state, e.loaded = engine.StateLoading, engine.Weights{}
 	ctx, cancel := context.WithCancel(context.Background())
-	e.loading = cancel
+	e.cancelLoading = cancel
 	go e.load(ctx, e.assign)
 	return true
 }
@@ -192,7 +192,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if ctx.Err() == nil && e.assign == a {
-		e.loaded, e.state, e.loading = a.Weights, engine.StateReady, nil
+		e.loaded, e.state, e.cancelLoading = a.Weights, engine.StateReady, nil
 	}
 }
 
--- a/internal/standin/enginefake/http.go
+++ b/internal/standin/enginefake/http.go
@@ -138,7 +138,7 @@
 	e.mu.Lock()
 	e.cancels[g.id] = cancel
 	e.served = append(e.served, Served{RequestID: g.id, Key: key, Group: a.Group, Epoch: a.Epoch, At: time.Now()})
-	record := len(e.served) - 1
+	index := len(e.served) - 1
 	faults := e.faults
 	e.faults.CrossNext, e.faults.CrossBody, e.faults.CutAfterTokens = false, false, 0
 	cached := e.cache.touch(xxhash.Sum64String(prefixOf(g.prompt())))
@@ -150,7 +150,7 @@
 	}()
 	if !e.membersReadyAt(ctx, a) {
 		e.mu.Lock()
-		e.served[record].Partial = true
+		e.served[index].Partial = true
 		e.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -170,7 +170,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	e.mu.Lock()
-	e.served[record].Complete = true
+	e.served[index].Complete = true
 	e.mu.Unlock()
 }
 
--- a/internal/standin/platformfake/store.go
+++ b/internal/standin/platformfake/store.go
@@ -34,9 +34,9 @@
 	mu       sync.Mutex
 	revision uint64
 	objects  map[string]objectapi.Object
-	changed  chan struct{}
+	changed  chan struct{} // closed and replaced by every write
 	faults   Faults
-	vms      []vmVersion
+	vms      []vmVersion // every list so far, oldest first
 	writes   *rate.Limiter
 	calls    map[string]int
 	weights  *rate.Limiter
--- a/internal/standin/servicefake/service.go
+++ b/internal/standin/servicefake/service.go
@@ -21,7 +21,7 @@
 type Service struct {
 	name   string
 	mu     sync.Mutex
-	runs   map[string]int
+	runs   map[string]int // by idempotency key
 	total  int
 	faults Faults
 }
