--- a/cmd/pearlanding/account.go
+++ b/cmd/pearlanding/account.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	report := account.Of(lines)
+	report := account.NewReport(lines)
 	if asJSON {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -83,9 +83,9 @@
 	weight         int      // number of requests that the line represents
 }
 
-// Of returns the report on saved lines. It skips lines that are no request lines, and requests
+// NewReport returns the report on saved lines. It skips lines that are no request lines, and requests
 // that matched no route or key.
-func Of(lines []decisionlog.Line) Report {
+func NewReport(lines []decisionlog.Line) Report {
 	kinds, causes, seconds := map[string]*KindSummary{}, map[Cause][]int{}, map[int64]*SecondSummary{}
 	r := Report{Versions: summarizeVersions(lines)}
 	for _, l := range lines {
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -18,7 +18,7 @@
 	defer f.Close()
 	lines, err := decisionlog.ReadLines("saved.log", f)
 	must.NoError(t, err)
-	report := Of(lines)
+	report := NewReport(lines)
 	must.Eq(t, 22, report.Requests)
 	var out bytes.Buffer
 	must.NoError(t, report.Write(&out))
@@ -29,6 +29,6 @@
 
 func TestReportOnNoLines(t *testing.T) {
 	var out bytes.Buffer
-	must.NoError(t, Of(nil).Write(&out))
+	must.NoError(t, NewReport(nil).Write(&out))
 	must.StrContains(t, out.String(), "0 requests")
 }
