--- a/internal/backpressure/backoff.go
+++ b/internal/backpressure/backoff.go
@@ -9,7 +9,7 @@
 
 // startBackoff starts a backoff that an incarnation asked for. Of two backoffs, the later end
 // applies.
-func (g *Gate) startBackoff(inc Life, duration time.Duration, now time.Time) {
+func (g *Gate) startBackoff(inc Incarnation, duration time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.backoffs) >= maxIncarnations {
@@ -32,11 +32,11 @@
 
 // dropExpiredBackoffs removes backoffs that have ended; g.mu is held.
 func (g *Gate) dropExpiredBackoffs(now time.Time) {
-	maps.DeleteFunc(g.backoffs, func(_ Life, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(g.backoffs, func(_ Incarnation, until time.Time) bool { return !now.Before(until) })
 }
 
-// Resting returns the number of incarnations from which this daemon is backing off.
-func (g *Gate) Resting(now time.Time) int {
+// BackoffCount returns the number of incarnations from which this daemon is backing off.
+func (g *Gate) BackoffCount(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dropExpiredBackoffs(now)
--- a/internal/backpressure/fleet_test.go
+++ b/internal/backpressure/fleet_test.go
@@ -152,12 +152,12 @@
 // exchange runs one exchange of a daemon with its relay, or of a relay with the other relays. Daemons
 // run it four times a second.
 func (f *simFleet) exchange(d *simDaemon) {
-	z, askedAt, hasLimits := f.zones[d.zone], f.now, !d.gate.Quiet()
+	z, askedAt, hasLimits := f.zones[d.zone], f.now, !d.gate.HasNoLimits()
 	if slices.Contains(z.relays, d) {
-		d.gate.Granted(z.grants[d].Grant(d.name, d.gate.Limited(), f.shares(d.zone), askedAt), askedAt)
+		d.gate.AddPermits(z.grants[d].Grant(d.name, d.gate.Limited(), f.shares(d.zone), askedAt), askedAt)
 		for _, other := range f.zones {
 			for _, relay := range other.relays {
-				if relay != d && !d.gate.Quiet() {
+				if relay != d && !d.gate.HasNoLimits() {
 					updates := d.gate.Updates(askedAt)
 					f.after(f.delay(), func() { relay.gate.Merge(updates, ReceivedAt{askedAt, f.now}) })
 				}
@@ -182,7 +182,7 @@
 		f.after(f.delay(), func() {
 			d.gate.Merge(reply, ReceivedAt{askedAt, f.now})
 			if hasLimits {
-				d.gate.Granted(permits, askedAt)
+				d.gate.AddPermits(permits, askedAt)
 			}
 		})
 	})
@@ -199,7 +199,7 @@
 		connect = time.Duration(f.rng.IntN(400)) * time.Millisecond
 	}
 	f.after(connect, func() {
-		if gate.Closed(testIncarnation, permit, f.now) {
+		if gate.Revoked(testIncarnation, permit, f.now) {
 			return
 		}
 		limit, refused := f.namedLimit, f.rng.IntN(10) == 0
@@ -350,7 +350,7 @@
 			f.namedLimit = 0
 			f.run(10 * time.Second)
 			for _, d := range f.daemons {
-				must.True(t, d.gate.Open(testIncarnation, f.now), must.Sprint(d.name))
+				must.True(t, d.gate.CanSend(testIncarnation, f.now), must.Sprint(d.name))
 			}
 		})
 	}
--- a/internal/backpressure/gate.go
+++ b/internal/backpressure/gate.go
@@ -26,9 +26,9 @@
 	version atomic.Uint64
 
 	mu     sync.Mutex
-	limits map[Life]*limit
+	limits map[Incarnation]*limit
 	// backoffs holds until when this daemon must not send to an incarnation.
-	backoffs map[Life]time.Time
+	backoffs map[Incarnation]time.Time
 	// leaving holds the incarnations that reported to be leaving, by instance.
 	leaving map[string]leavingIncarnation
 	// permitsAskedAt is when the last answered request for permits was sent, whether or not any were
@@ -40,7 +40,7 @@
 
 // NewGate returns a gate that knows no limits. uniform returns a random duration in [low, high).
 func NewGate(daemons func() int, uniform func(low, high time.Duration) time.Duration, log *zap.Logger) *Gate {
-	return &Gate{log: log, daemons: daemons, uniform: uniform, limits: map[Life]*limit{}, backoffs: map[Life]time.Time{}, leaving: map[string]leavingIncarnation{}, changed: make(chan struct{}, 1)}
+	return &Gate{log: log, daemons: daemons, uniform: uniform, limits: map[Incarnation]*limit{}, backoffs: map[Incarnation]time.Time{}, leaving: map[string]leavingIncarnation{}, changed: make(chan struct{}, 1)}
 }
 
 // Version returns a number that rises with each incarnation of which something becomes known. While
@@ -49,7 +49,7 @@
 
 // KnowsAny reports whether a limit, the end of one, a backoff or leaving is known of any of the
 // incarnations.
-func (g *Gate) KnowsAny(incarnations iter.Seq[Life]) bool {
+func (g *Gate) KnowsAny(incarnations iter.Seq[Incarnation]) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for inc := range incarnations {
@@ -61,8 +61,8 @@
 	return false
 }
 
-// Quiet reports whether neither a limit nor the end of one is known.
-func (g *Gate) Quiet() bool {
+// HasNoLimits reports whether neither a limit nor the end of one is known.
+func (g *Gate) HasNoLimits() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.limits) == 0
@@ -72,12 +72,12 @@
 func (g *Gate) Changed() <-chan struct{} { return g.changed }
 
 // Observe records the signals of an answer to a request that was sent at a time and answered now.
-func (g *Gate) Observe(inc Life, s Signals, sent, now time.Time) {
+func (g *Gate) Observe(inc Incarnation, s Signals, sent, now time.Time) {
 	if s.Leaving {
 		g.markLeaving(inc, now)
 	}
-	if s.Rest > 0 {
-		g.startBackoff(inc, min(s.Rest, MostRest), now)
+	if s.Backoff > 0 {
+		g.startBackoff(inc, min(s.Backoff, MaxBackoff), now)
 	}
 	switch {
 	case s.Limit > 0:
@@ -101,12 +101,12 @@
 
 // refusesAll reports whether an incarnation is leaving or this daemon is backing off from it; g.mu
 // is held.
-func (g *Gate) refusesAll(inc Life, now time.Time) bool {
+func (g *Gate) refusesAll(inc Incarnation, now time.Time) bool {
 	return now.Before(g.backoffs[inc]) || g.isLeaving(inc)
 }
 
-// Open reports whether a request could be sent to an incarnation now.
-func (g *Gate) Open(inc Life, now time.Time) bool {
+// CanSend reports whether a request could be sent to an incarnation now.
+func (g *Gate) CanSend(inc Incarnation, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.refusesAll(inc, now) {
@@ -118,7 +118,7 @@
 
 // Take reserves one request to an incarnation now; ok is false if none may be sent. permit reports
 // whether the incarnation has a limit, which the request counts against.
-func (g *Gate) Take(inc Life, now time.Time) (permit, ok bool) {
+func (g *Gate) Take(inc Incarnation, now time.Time) (permit, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.refusesAll(inc, now) {
@@ -138,9 +138,9 @@
 	return false, false
 }
 
-// Closed reports whether a request that was reserved by Take must not be written because of signals
+// Revoked reports whether a request that was reserved by Take must not be written because of signals
 // received since. permit is what Take returned.
-func (g *Gate) Closed(inc Life, permit bool, now time.Time) bool {
+func (g *Gate) Revoked(inc Incarnation, permit bool, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.refusesAll(inc, now) {
@@ -150,27 +150,27 @@
 	return !permit && l != nil && l.perSecond > 0
 }
 
-// Free is when requests may be sent again.
-type Free struct {
-	In time.Duration // 0: may be sent now
-	// Here reports whether this daemon may send then; otherwise some daemon may.
-	Here bool
+// NextSend is when requests may be sent again.
+type NextSend struct {
+	After time.Duration // 0: may be sent now
+	// ThisDaemon reports whether this daemon may send then; otherwise some daemon may.
+	ThisDaemon bool
 }
 
-// FreeIn returns when requests may first be sent again to any of the incarnations that are limited
+// NextSend returns when requests may first be sent again to any of the incarnations that are limited
 // or backed off from. It is zero if there is none.
-func (g *Gate) FreeIn(incarnations []Life, now time.Time) (earliest Free) {
+func (g *Gate) NextSend(incarnations []Incarnation, now time.Time) (earliest NextSend) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, inc := range incarnations {
 		if g.isLeaving(inc) {
 			continue
 		}
-		next := Free{max(g.backoffs[inc].Sub(now), 0), true}
+		next := NextSend{max(g.backoffs[inc].Sub(now), 0), true}
 		if l := g.limits[inc]; l != nil && l.perSecond > 0 {
-			next = Free{max(next.In, time.Duration(float64(time.Second)/l.perSecond)), false}
+			next = NextSend{max(next.After, time.Duration(float64(time.Second)/l.perSecond)), false}
 		}
-		if next.In > 0 && (earliest.In == 0 || next.In < earliest.In) {
+		if next.After > 0 && (earliest.After == 0 || next.After < earliest.After) {
 			earliest = next
 		}
 	}
--- a/internal/backpressure/gate_test.go
+++ b/internal/backpressure/gate_test.go
@@ -21,7 +21,7 @@
 	return NewGate(func() int { return daemons }, func(low, _ time.Duration) time.Duration { return low }, zap.NewNop())
 }
 
-var testIncarnation = Life{"i-1", 7}
+var testIncarnation = Incarnation{"i-1", 7}
 
 // Guards against ending a limit because of an answer that was made before the limit was named and
 // arrived later on another connection.
@@ -29,32 +29,32 @@
 	g := newGate(9)
 	g.Observe(testIncarnation, Signals{Limit: 2}, at(0.9), at(1))
 	g.Observe(testIncarnation, Signals{Conclusive: true}, at(0.95), at(1.1))
-	must.False(t, g.Open(testIncarnation, at(1.2)))
+	must.False(t, g.CanSend(testIncarnation, at(1.2)))
 	g.Observe(testIncarnation, Signals{}, at(1.2), at(1.3)) // a refusal without a limit
-	must.False(t, g.Open(testIncarnation, at(1.4)))
+	must.False(t, g.CanSend(testIncarnation, at(1.4)))
 	g.Observe(testIncarnation, Signals{Conclusive: true}, at(1.5), at(1.6))
-	must.True(t, g.Open(testIncarnation, at(1.6)))
+	must.True(t, g.CanSend(testIncarnation, at(1.6)))
 }
 
 // Guards against applying the limit of one incarnation to the next.
 func TestLimitIsPerIncarnation(t *testing.T) {
 	g := newGate(9)
 	g.Observe(testIncarnation, Signals{Limit: 2}, at(0), at(0))
-	must.False(t, g.Open(testIncarnation, at(1)))
-	must.True(t, g.Open(Life{"i-1", 8}, at(1)))
-	must.True(t, g.Open(Life{"i-2", 7}, at(1)))
+	must.False(t, g.CanSend(testIncarnation, at(1)))
+	must.True(t, g.CanSend(Incarnation{"i-1", 8}, at(1)))
+	must.True(t, g.CanSend(Incarnation{"i-2", 7}, at(1)))
 }
 
 func TestPermitsAreUsedOnceAndExpire(t *testing.T) {
 	g := newGate(9)
 	g.Observe(testIncarnation, Signals{Limit: 2}, at(0), at(0))
-	g.Granted([]Permits{{"i-1", 7, 1}, {"i-9", 7, 5}}, at(1))
+	g.AddPermits([]Permits{{"i-1", 7, 1}, {"i-9", 7, 5}}, at(1))
 	permit, ok := g.Take(testIncarnation, at(1.1))
 	must.True(t, permit && ok)
 	_, ok = g.Take(testIncarnation, at(1.1))
 	must.False(t, ok)
-	g.Granted([]Permits{{"i-1", 7, 1}}, at(2))
-	must.False(t, g.Open(testIncarnation, at(2).Add(permitTTL)))
+	g.AddPermits([]Permits{{"i-1", 7, 1}}, at(2))
+	must.False(t, g.CanSend(testIncarnation, at(2).Add(permitTTL)))
 }
 
 // Guards against a daemon that never sends again after it lost its relay for good: it must send, to
@@ -69,8 +69,8 @@
 		}
 	}
 	must.Between(t, 10, len(sent), 14) // one each 71 s
-	g.Granted(nil, at(1000))
-	must.False(t, g.Open(testIncarnation, at(1001)), must.Sprint("an answer without permits counts as an answer"))
+	g.AddPermits(nil, at(1000))
+	must.False(t, g.CanSend(testIncarnation, at(1001)), must.Sprint("an answer without permits counts as an answer"))
 }
 
 // Guards against updates that seem newer each time they are forwarded: the end of a limit could never
@@ -85,7 +85,7 @@
 	}
 	for _, g := range []*Gate{a, b} {
 		g.Observe(testIncarnation, Signals{Conclusive: true}, at(1), at(60))
-		must.True(t, g.Open(testIncarnation, at(60)))
+		must.True(t, g.CanSend(testIncarnation, at(60)))
 	}
 }
 
@@ -98,30 +98,30 @@
 	a.Observe(testIncarnation, Signals{Conclusive: true}, at(5), at(5.1))
 	b.Merge(a.Updates(at(6)), ReceivedAt{at(6), at(6)}) // b knew no limit
 	c.Merge(b.Updates(at(7)), ReceivedAt{at(7), at(7)})
-	must.True(t, c.Open(testIncarnation, at(7)))
+	must.True(t, c.CanSend(testIncarnation, at(7)))
 	for s := 6.0; s < 36; s++ { // further answers without a limit
 		a.Observe(testIncarnation, Signals{Conclusive: true}, at(s), at(s))
 	}
 	a.Sweep(at(5).Add(endTTL))
-	must.True(t, a.Quiet())
+	must.True(t, a.HasNoLimits())
 }
 
 // Guards against memory use that grows with every incarnation that ever had a limit.
 func TestTrackedIncarnationsAreBounded(t *testing.T) {
 	g := newGate(9)
 	for i := range maxIncarnations + 10 {
-		g.Observe(Life{fmt.Sprint(i), 0}, Signals{Limit: 1}, at(0), at(float64(i)))
+		g.Observe(Incarnation{fmt.Sprint(i), 0}, Signals{Limit: 1}, at(0), at(float64(i)))
 	}
 	must.MapLen(t, maxIncarnations, g.Limited())
-	must.True(t, g.Open(Life{"0", 0}, at(0)))
-	must.False(t, g.Open(Life{fmt.Sprint(maxIncarnations), 0}, at(0)))
+	must.True(t, g.CanSend(Incarnation{"0", 0}, at(0)))
+	must.False(t, g.CanSend(Incarnation{fmt.Sprint(maxIncarnations), 0}, at(0)))
 }
 
 // Guards against bad values in updates that would allow all requests, or none.
 func TestReceivedLimitsAreClamped(t *testing.T) {
 	g := newGate(9)
 	g.Merge([]Update{{"a", 0, 1e300, 0}, {"b", 0, 1e-300, 0}}, ReceivedAt{at(0), at(0)})
-	must.Eq(t, map[Life]float64{{"a", 0}: MaxLimit, {"b", 0}: LeastLimit}, g.Limited())
+	must.Eq(t, map[Incarnation]float64{{"a", 0}: MaxLimit, {"b", 0}: MinLimit}, g.Limited())
 }
 
 // Guards against granting all permits to the first daemon that asks.
@@ -131,7 +131,7 @@
 		got := map[string]int{}
 		for s := 0.0; s < 60; s += 0.25 {
 			for i, daemon := range []string{"a", "b", "c"} {
-				for _, p := range g.Grant(daemon, map[Life]float64{testIncarnation: perSecond}, Shares{Count: 1}, at(s+0.01*float64(i))) {
+				for _, p := range g.Grant(daemon, map[Incarnation]float64{testIncarnation: perSecond}, Shares{Count: 1}, at(s+0.01*float64(i))) {
 					got[daemon] += p.Count
 				}
 			}
@@ -167,42 +167,42 @@
 // Guards against a backoff that a later answer or a shorter backoff ends.
 func TestBackoffLastsAsLongAsRequested(t *testing.T) {
 	g := newGate(9)
-	g.Observe(testIncarnation, Signals{Rest: 3 * time.Second}, at(0), at(0.1))
-	g.Observe(testIncarnation, Signals{Rest: time.Second}, at(0), at(0.2))
+	g.Observe(testIncarnation, Signals{Backoff: 3 * time.Second}, at(0), at(0.1))
+	g.Observe(testIncarnation, Signals{Backoff: time.Second}, at(0), at(0.2))
 	g.Observe(testIncarnation, Signals{Conclusive: true}, at(0.3), at(0.4)) // the request was sent before
-	must.False(t, g.Open(testIncarnation, at(3.0)))
+	must.False(t, g.CanSend(testIncarnation, at(3.0)))
 	_, ok := g.Take(testIncarnation, at(3.0))
 	must.False(t, ok)
-	must.True(t, g.Closed(testIncarnation, true, at(3.0)), must.Sprint("with a permit too"))
-	must.True(t, g.Open(testIncarnation, at(3.1)))
-	must.True(t, g.Open(Life{"i-1", 8}, at(1)), must.Sprint("another incarnation"))
-	must.Eq(t, 0, g.Resting(at(3.1)))
-	must.False(t, g.KnowsAny(slices.Values([]Life{testIncarnation})))
+	must.True(t, g.Revoked(testIncarnation, true, at(3.0)), must.Sprint("with a permit too"))
+	must.True(t, g.CanSend(testIncarnation, at(3.1)))
+	must.True(t, g.CanSend(Incarnation{"i-1", 8}, at(1)), must.Sprint("another incarnation"))
+	must.Eq(t, 0, g.BackoffCount(at(3.1)))
+	must.False(t, g.KnowsAny(slices.Values([]Incarnation{testIncarnation})))
 }
 
 // Guards against backoffs that one instance makes endless, and against a map that grows with every
 // incarnation that asks for one.
 func TestBackoffIsBounded(t *testing.T) {
 	g := newGate(9)
-	g.Observe(testIncarnation, Signals{Rest: 365 * 24 * time.Hour}, at(0), at(0))
-	must.True(t, g.Open(testIncarnation, at(0).Add(MostRest)))
+	g.Observe(testIncarnation, Signals{Backoff: 365 * 24 * time.Hour}, at(0), at(0))
+	must.True(t, g.CanSend(testIncarnation, at(0).Add(MaxBackoff)))
 	for i := range maxIncarnations + 10 {
-		g.Observe(Life{fmt.Sprint(i), 0}, Signals{Rest: time.Second}, at(0), at(float64(i)/1e6))
+		g.Observe(Incarnation{fmt.Sprint(i), 0}, Signals{Backoff: time.Second}, at(0), at(float64(i)/1e6))
 	}
-	must.Eq(t, maxIncarnations, g.Resting(at(0.1)))
+	must.Eq(t, maxIncarnations, g.BackoffCount(at(0.1)))
 }
 
 // Guards against a retry delay after which no instance accepts a request yet.
 func TestNextSendIsThatOfTheFirstInstance(t *testing.T) {
 	g := newGate(9)
-	a, b, c := Life{"a", 0}, Life{"b", 0}, Life{"c", 0}
-	g.Observe(a, Signals{Rest: 3 * time.Second}, at(0), at(0))
+	a, b, c := Incarnation{"a", 0}, Incarnation{"b", 0}, Incarnation{"c", 0}
+	g.Observe(a, Signals{Backoff: 3 * time.Second}, at(0), at(0))
 	g.Observe(b, Signals{Limit: 0.5}, at(0), at(0))
-	g.Observe(c, Signals{Limit: 10, Rest: 5 * time.Second}, at(0), at(0))
-	must.Eq(t, Free{2 * time.Second, false}, g.FreeIn([]Life{a, b, c}, at(0)))
-	must.Eq(t, Free{time.Second, true}, g.FreeIn([]Life{a, b, c}, at(2)))
-	must.Eq(t, Free{5 * time.Second, false}, g.FreeIn([]Life{c}, at(0)))
-	must.Eq(t, Free{}, g.FreeIn([]Life{{"d", 0}}, at(0)))
+	g.Observe(c, Signals{Limit: 10, Backoff: 5 * time.Second}, at(0), at(0))
+	must.Eq(t, NextSend{2 * time.Second, false}, g.NextSend([]Incarnation{a, b, c}, at(0)))
+	must.Eq(t, NextSend{time.Second, true}, g.NextSend([]Incarnation{a, b, c}, at(2)))
+	must.Eq(t, NextSend{5 * time.Second, false}, g.NextSend([]Incarnation{c}, at(0)))
+	must.Eq(t, NextSend{}, g.NextSend([]Incarnation{{"d", 0}}, at(0)))
 }
 
 // Guards against requests to a leaving incarnation: after a later answer, after a long time, or by a
@@ -212,13 +212,13 @@
 	g.Observe(testIncarnation, Signals{Leaving: true, Conclusive: true}, at(0), at(0))
 	g.Observe(testIncarnation, Signals{Conclusive: true}, at(1), at(1))
 	g.Sweep(at(1e5))
-	must.False(t, g.Open(testIncarnation, at(1e5)))
-	must.True(t, g.Closed(testIncarnation, true, at(1e5)))
-	must.False(t, g.Open(Life{"i-1", 0}, at(1)))
-	must.True(t, g.Open(Life{"i-1", 8}, at(1)), must.Sprint("the next incarnation"))
-	must.Eq(t, Free{}, g.FreeIn([]Life{testIncarnation}, at(1)), must.Sprint("a leaving incarnation has no next send"))
+	must.False(t, g.CanSend(testIncarnation, at(1e5)))
+	must.True(t, g.Revoked(testIncarnation, true, at(1e5)))
+	must.False(t, g.CanSend(Incarnation{"i-1", 0}, at(1)))
+	must.True(t, g.CanSend(Incarnation{"i-1", 8}, at(1)), must.Sprint("the next incarnation"))
+	must.Eq(t, NextSend{}, g.NextSend([]Incarnation{testIncarnation}, at(1)), must.Sprint("a leaving incarnation has no next send"))
 	for i := range maxIncarnations {
-		g.Observe(Life{fmt.Sprint(i), 0}, Signals{Leaving: true}, at(2), at(2))
+		g.Observe(Incarnation{fmt.Sprint(i), 0}, Signals{Leaving: true}, at(2), at(2))
 	}
 	must.MapLen(t, maxIncarnations, g.leaving)
 }
@@ -228,10 +228,10 @@
 func TestMessagesHoldChangesAndOlderLimitsInTurns(t *testing.T) {
 	a, b := newGate(2), newGate(2)
 	for i := range 100 {
-		a.Observe(Life{fmt.Sprint(i), 0}, Signals{Limit: 2}, at(0), at(0))
+		a.Observe(Incarnation{fmt.Sprint(i), 0}, Signals{Limit: 2}, at(0), at(0))
 	}
 	must.Len(t, 100, a.Updates(at(1)))
-	a.Observe(Life{"new", 0}, Signals{Limit: 2}, at(10), at(10))
+	a.Observe(Incarnation{"new", 0}, Signals{Limit: 2}, at(10), at(10))
 	for s := 10.0; s < 10+0.25*100/olderUpdates+1; s += 0.25 {
 		updates := a.Updates(at(s))
 		must.LessEq(t, olderUpdates+1, len(updates))
@@ -245,7 +245,7 @@
 func TestNewRelayReceivesOlderLimits(t *testing.T) {
 	peer, relay := newGate(2), newGate(2)
 	for i := range 5 {
-		peer.Observe(Life{fmt.Sprint(i), 0}, Signals{Limit: 2}, at(0), at(0))
+		peer.Observe(Incarnation{fmt.Sprint(i), 0}, Signals{Limit: 2}, at(0), at(0))
 	}
 	for s := 100.0; s < 101; s += 0.25 {
 		relay.Merge(peer.Updates(at(s)), ReceivedAt{at(s), at(s)})
--- a/internal/backpressure/grants.go
+++ b/internal/backpressure/grants.go
@@ -65,7 +65,7 @@
 // takes over, it starts without permits. The zero value is ready to use. Safe for concurrent use.
 type Grants struct {
 	mu      sync.Mutex
-	grants  map[Life]*grant
+	grants  map[Incarnation]*grant
 	sweptAt time.Time
 }
 
@@ -78,22 +78,22 @@
 }
 
 // Grant returns the permits that a daemon receives now for the limited incarnations.
-func (g *Grants) Grant(daemon string, limited map[Life]float64, shares Shares, now time.Time) []Permits {
+func (g *Grants) Grant(daemon string, limited map[Incarnation]float64, shares Shares, now time.Time) []Permits {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
 	var out []Permits
 	for inc, limit := range limited {
 		if n := g.grant(inc, now).take(daemon, shares.share(inc.Instance)*limit, now); n > 0 {
-			out = append(out, Permits{inc.Instance, inc.Born, n})
+			out = append(out, Permits{inc.Instance, inc.StartedAt, n})
 		}
 	}
 	return out
 }
 
-func (g *Grants) grant(inc Life, now time.Time) *grant {
+func (g *Grants) grant(inc Incarnation, now time.Time) *grant {
 	if g.grants == nil {
-		g.grants = map[Life]*grant{}
+		g.grants = map[Incarnation]*grant{}
 	}
 	entry := g.grants[inc]
 	if entry == nil {
--- a/internal/backpressure/leaving.go
+++ b/internal/backpressure/leaving.go
@@ -13,7 +13,7 @@
 }
 
 // markLeaving records that an incarnation is leaving. The record applies until the incarnation ends.
-func (g *Gate) markLeaving(inc Life, now time.Time) {
+func (g *Gate) markLeaving(inc Incarnation, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.isLeaving(inc) {
@@ -22,16 +22,16 @@
 	if _, known := g.leaving[inc.Instance]; !known && len(g.leaving) >= maxIncarnations {
 		delete(g.leaving, oldest(g.leaving, func(l leavingIncarnation) time.Time { return l.since }))
 	}
-	g.leaving[inc.Instance] = leavingIncarnation{inc.Born, now}
+	g.leaving[inc.Instance] = leavingIncarnation{inc.StartedAt, now}
 	g.version.Add(1)
-	g.log.Info("instance is leaving", zap.String("instance", inc.Instance), zap.Int64("born", inc.Born))
+	g.log.Info("instance is leaving", zap.String("instance", inc.Instance), zap.Int64("born", inc.StartedAt))
 }
 
 // isLeaving reports whether an incarnation is leaving; one with unknown start time may be any
 // incarnation of its instance. g.mu is held.
-func (g *Gate) isLeaving(inc Life) bool {
+func (g *Gate) isLeaving(inc Incarnation) bool {
 	leaving, known := g.leaving[inc.Instance]
-	return known && (leaving.startedAt == inc.Born || leaving.startedAt == 0 || inc.Born == 0)
+	return known && (leaving.startedAt == inc.StartedAt || leaving.startedAt == 0 || inc.StartedAt == 0)
 }
 
 // oldest returns the key whose value has the earliest time.
--- a/internal/backpressure/limit.go
+++ b/internal/backpressure/limit.go
@@ -41,7 +41,7 @@
 
 // setLimit records a limit that an incarnation named at a time. It does nothing if a later limit or
 // end is known, or if the same limit is known and is less than newerBy older.
-func (g *Gate) setLimit(inc Life, perSecond float64, namedAt time.Time, newerBy time.Duration, now time.Time, source string) {
+func (g *Gate) setLimit(inc Incarnation, perSecond float64, namedAt time.Time, newerBy time.Duration, now time.Time, source string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.limits[inc]
@@ -63,7 +63,7 @@
 
 // endLimit records that an incarnation named no limit in its answer to a request sent at a time. An
 // end forwarded by another daemon is kept even without a known limit, to be forwarded in turn.
-func (g *Gate) endLimit(inc Life, sent time.Time, forwarded bool, now time.Time, source string) {
+func (g *Gate) endLimit(inc Incarnation, sent time.Time, forwarded bool, now time.Time, source string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.limits[inc]
@@ -83,7 +83,7 @@
 }
 
 // notifyChange logs and signals a change; g.mu is held.
-func (g *Gate) notifyChange(message string, inc Life, fields ...zap.Field) {
+func (g *Gate) notifyChange(message string, inc Incarnation, fields ...zap.Field) {
 	g.log.Info(message, append([]zap.Field{zap.String("instance", inc.Instance)}, fields...)...)
 	select {
 	case g.changed <- struct{}{}:
@@ -99,10 +99,10 @@
 }
 
 // Limited returns the limit of each incarnation that has one.
-func (g *Gate) Limited() map[Life]float64 {
+func (g *Gate) Limited() map[Incarnation]float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := map[Life]float64{}
+	out := map[Incarnation]float64{}
 	for inc, l := range g.limits {
 		if l.perSecond > 0 {
 			out[inc] = l.perSecond
@@ -111,13 +111,13 @@
 	return out
 }
 
-// Granted stores the permits of the answer to a request for permits that was sent at a time.
-func (g *Gate) Granted(permits []Permits, askedAt time.Time) {
+// AddPermits stores the permits of the answer to a request for permits that was sent at a time.
+func (g *Gate) AddPermits(permits []Permits, askedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.permitsAskedAt = askedAt
 	for _, p := range permits {
-		l := g.limits[Life{p.Instance, p.Born}]
+		l := g.limits[Incarnation{p.Instance, p.StartedAt}]
 		if l != nil && l.perSecond > 0 && p.Count > 0 {
 			l.batches = append(l.batches, permitBatch{p.Count, askedAt.Add(permitTTL)})
 		}
--- a/internal/backpressure/signals.go
+++ b/internal/backpressure/signals.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Life identifies one run of an instance under its id. What is known of one run does not apply to
+// Incarnation identifies one run of an instance under its id. What is known of one run does not apply to
 // another.
-type Life struct {
-	Instance string
-	Born     int64 // start time; 0: unknown
+type Incarnation struct {
+	Instance  string
+	StartedAt int64 // start time; 0: unknown
 }
 
 // Bounds of a limit, in requests a second.
 const (
-	// LeastLimit replaces lower limits: without any request no daemon would notice the end of the
+	// MinLimit replaces lower limits: without any request no daemon would notice the end of the
 	// limit.
-	LeastLimit = 0.05
+	MinLimit = 0.05
 	// MaxLimit replaces higher limits.
 	MaxLimit = 1e5
 )
@@ -26,11 +26,11 @@
 	// Conclusive reports that the instance itself made the answer and it is not a refusal, so a limit
 	// that it does not name has ended.
 	Conclusive bool
-	// Rest is how long the instance asks this daemon to send it no request; 0: it does not ask.
-	Rest time.Duration
+	// Backoff is how long the instance asks this daemon to send it no request; 0: it does not ask.
+	Backoff time.Duration
 	// Leaving reports that the instance stops soon and accepts no new requests.
 	Leaving bool
 }
 
-// MostRest replaces longer backoffs.
-const MostRest = 10 * time.Minute
+// MaxBackoff replaces longer backoffs.
+const MaxBackoff = 10 * time.Minute
--- a/internal/backpressure/updates.go
+++ b/internal/backpressure/updates.go
@@ -8,9 +8,9 @@
 
 // Update is a limit as one daemon sends it to another.
 type Update struct {
-	Instance string  `json:"instance"`
-	Born     int64   `json:"born,omitempty"`
-	Limit    float64 `json:"limit,omitempty"` // requests a second; 0: the limit ended
+	Instance  string  `json:"instance"`
+	StartedAt int64   `json:"born,omitempty"`
+	Limit     float64 `json:"limit,omitempty"` // requests a second; 0: the limit ended
 	// AgeUS is the age in microseconds: of a limit since the answer that named it, of an end since
 	// the sending of the request whose answer named none.
 	AgeUS int64 `json:"age_us"`
@@ -18,9 +18,9 @@
 
 // Permits is a number of requests that a daemon may send to a limited instance.
 type Permits struct {
-	Instance string `json:"instance"`
-	Born     int64  `json:"born,omitempty"`
-	Count    int    `json:"count"`
+	Instance  string `json:"instance"`
+	StartedAt int64  `json:"born,omitempty"`
+	Count     int    `json:"count"`
 }
 
 // ReceivedAt bounds the time at which updates were sent, by the receiver's clock.
@@ -51,7 +51,7 @@
 		return nil
 	}
 	out := make([]Update, 0, len(g.limits))
-	var old []Life
+	var old []Incarnation
 	for inc, l := range g.limits {
 		switch {
 		case l.perSecond == 0 && now.Sub(l.asOf) >= endTTL:
@@ -70,19 +70,19 @@
 	return out
 }
 
-func (l *limit) update(inc Life, now time.Time) Update {
-	return Update{inc.Instance, inc.Born, l.perSecond, now.Sub(l.asOf).Microseconds()}
+func (l *limit) update(inc Incarnation, now time.Time) Update {
+	return Update{inc.Instance, inc.StartedAt, l.perSecond, now.Sub(l.asOf).Microseconds()}
 }
 
-func compareIncarnations(a, b Life) int {
-	return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Born, b.Born))
+func compareIncarnations(a, b Incarnation) int {
+	return cmp.Or(cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.StartedAt, b.StartedAt))
 }
 
 // Merge merges the updates of another daemon. Within the bounds of received, a limit is dated as late
 // as possible and the end of a limit as early as possible.
 func (g *Gate) Merge(updates []Update, received ReceivedAt) {
 	for _, u := range updates {
-		inc, age := Life{u.Instance, u.Born}, time.Duration(u.AgeUS)*time.Microsecond
+		inc, age := Incarnation{u.Instance, u.StartedAt}, time.Duration(u.AgeUS)*time.Microsecond
 		if u.Limit > 0 {
 			g.setLimit(inc, clampLimit(u.Limit), received.Latest.Add(-age), minNewer, received.Latest, "daemons")
 		} else {
@@ -91,4 +91,4 @@
 	}
 }
 
-func clampLimit(limit float64) float64 { return min(max(limit, LeastLimit), MaxLimit) }
+func clampLimit(limit float64) float64 { return min(max(limit, MinLimit), MaxLimit) }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -200,7 +200,7 @@
 	d.buildQuarantine(s)
 	d.gate = backpressure.NewGate(func() int { return int(d.loadReporters.Load()) }, d.uniform, d.Log)
 	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_limited", func() float64 { return float64(len(d.gate.Limited())) })
-	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_resting", func() float64 { return float64(d.gate.Resting(d.Clock.Now())) })
+	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_resting", func() float64 { return float64(d.gate.BackoffCount(d.Clock.Now())) })
 	entries := d.Outside.Feed
 	if s.Peers != "" {
 		d.relay = d.newRelay(s, holder)
@@ -274,7 +274,7 @@
 	}
 	if in := view.Instances[instance]; in != nil {
 		now := d.Clock.Now()
-		d.gate.Observe(backpressure.Life{Instance: instance, Born: in.Born}, s, now, now)
+		d.gate.Observe(backpressure.Incarnation{Instance: instance, StartedAt: in.Born}, s, now, now)
 	}
 }
 
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -36,7 +36,7 @@
 	total            int
 }
 
-var limitedIncarnation = backpressure.Life{Instance: "i-limited"}
+var limitedIncarnation = backpressure.Incarnation{Instance: "i-limited"}
 
 // tick answers pending requests and offers new ones; it is called every 20 ms.
 func (l *limitedInstance) tick() {
@@ -131,7 +131,7 @@
 					l.limit = 0
 					j.run(10 * time.Second)
 					for i, d := range z.daemons {
-						must.True(t, d.gate.Open(limitedIncarnation, time.Now()), must.Sprint("daemon ", i, " after the end of the limit\n", z.logText()))
+						must.True(t, d.gate.CanSend(limitedIncarnation, time.Now()), must.Sprint("daemon ", i, " after the end of the limit\n", z.logText()))
 					}
 				})
 			})
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -14,8 +14,8 @@
 )
 
 // incarnationOf returns the incarnation of a target's instance.
-func incarnationOf(t *dispatch.Target) backpressure.Life {
-	return backpressure.Life{Instance: t.Instance, Born: t.Born}
+func incarnationOf(t *dispatch.Target) backpressure.Incarnation {
+	return backpressure.Incarnation{Instance: t.Instance, StartedAt: t.Born}
 }
 
 // sendableTargets returns the targets of a list whose instances accept requests now according
@@ -30,7 +30,7 @@
 		list.noSignalsVersion.Store(gateVersion + 1)
 		return targets
 	}
-	blocked := func(t dispatch.Target) bool { return !g.Gate.Open(incarnationOf(&t), now) }
+	blocked := func(t dispatch.Target) bool { return !g.Gate.CanSend(incarnationOf(&t), now) }
 	if !slices.ContainsFunc(targets, blocked) {
 		return targets
 	}
@@ -43,7 +43,7 @@
 func (x *exchange) withholdFunc(t *dispatch.Target) func() bool {
 	incarnation, permit, g := incarnationOf(t), x.hasPermit, x.gateway
 	return func() bool {
-		withhold := g.Gate.Closed(incarnation, permit, g.Clock.Now())
+		withhold := g.Gate.Revoked(incarnation, permit, g.Clock.Now())
 		if withhold {
 			g.Metrics.set.GetOrCreateCounter("pearlanding_sends_withheld_total").Inc()
 		}
@@ -66,23 +66,23 @@
 // nextSend returns when the first of the untried instances accepts the request, if none does
 // now because of the signals they announced. It returns the zero value if one accepts the
 // request now, or if the targets are not known.
-func (x *exchange) nextSend() backpressure.Free {
+func (x *exchange) nextSend() backpressure.NextSend {
 	list := x.gateway.targetList(x.gateway.View(), x.service, x.req.Model)
 	if list == nil {
-		return backpressure.Free{}
+		return backpressure.NextSend{}
 	}
 	now := x.gateway.Clock.Now()
-	var incarnations []backpressure.Life
+	var incarnations []backpressure.Incarnation
 	for _, t := range list.validAt(now) {
 		if x.triedInstances[t.Instance] {
 			continue
 		}
-		if x.gateway.Gate.Open(incarnationOf(&t), now) {
-			return backpressure.Free{}
+		if x.gateway.Gate.CanSend(incarnationOf(&t), now) {
+			return backpressure.NextSend{}
 		}
 		incarnations = append(incarnations, incarnationOf(&t))
 	}
-	return x.gateway.Gate.FreeIn(incarnations, now)
+	return x.gateway.Gate.NextSend(incarnations, now)
 }
 
 // awaitBackoff waits until the first backoff of an instance ends, if the request can still be
@@ -91,9 +91,9 @@
 func (x *exchange) awaitBackoff(ctx context.Context) bool {
 	next := x.nextSend()
 	remaining := x.route.Objective - x.priorWait - x.gateway.Clock.Since(x.arrivedAt)
-	if !next.Here || !dispatch.WorthWaiting(next.In, remaining, x.gateway.Picker.Floor(x.req.Model)) {
+	if !next.ThisDaemon || !dispatch.WorthWaiting(next.After, remaining, x.gateway.Picker.Floor(x.req.Model)) {
 		return false
 	}
-	pause.For(ctx, next.In)
+	pause.For(ctx, next.After)
 	return ctx.Err() == nil
 }
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -43,7 +43,7 @@
 // setLimit announces a rate limit of an instance.
 func setLimit(gate *backpressure.Gate, instance string, perSecond float64) {
 	now := time.Now()
-	gate.Observe(backpressure.Life{Instance: instance}, backpressure.Signals{Limit: perSecond}, now, now)
+	gate.Observe(backpressure.Incarnation{Instance: instance}, backpressure.Signals{Limit: perSecond}, now, now)
 }
 
 // Guards against requests that fail, or wait, because of an instance with a rate limit while
@@ -68,7 +68,7 @@
 	x.servePlain(t.Context())
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
 	must.Eq(t, "upstream_backpressure", x.reason)
-	must.Eq(t, 2*time.Second, x.nextSend().In)
+	must.Eq(t, 2*time.Second, x.nextSend().After)
 	must.SliceEmpty(t, x.sends)
 }
 
@@ -83,7 +83,7 @@
 	setLimit(gate, "a", 2)
 	setLimit(gate, "b", 2)
 	must.True(t, withheld())
-	gate.Granted([]backpressure.Permits{{Instance: target.Instance, Count: 1}}, time.Now())
+	gate.AddPermits([]backpressure.Permits{{Instance: target.Instance, Count: 1}}, time.Now())
 	x, _ = newLimitedExchange(gate)
 	must.False(t, x.withholdFunc(x.nextTarget(t.Context()))(), must.Sprint("the request holds a permit"))
 }
@@ -92,7 +92,7 @@
 func setBackoff(gate *backpressure.Gate, duration time.Duration, instances ...string) {
 	now := time.Now()
 	for _, id := range instances {
-		gate.Observe(backpressure.Life{Instance: id}, backpressure.Signals{Rest: duration}, now, now)
+		gate.Observe(backpressure.Incarnation{Instance: id}, backpressure.Signals{Backoff: duration}, now, now)
 	}
 }
 
@@ -118,15 +118,15 @@
 // Guards against a cached list of targets that is not checked again when one of its instances
 // announces a signal later.
 func TestTargetsFollowLaterSignals(t *testing.T) {
-	cases := map[string]backpressure.Signals{"limit": {Limit: 2}, "rest": {Rest: time.Minute}, "leaving": {Leaving: true}}
+	cases := map[string]backpressure.Signals{"limit": {Limit: 2}, "rest": {Backoff: time.Minute}, "leaving": {Leaving: true}}
 	for name, signals := range cases {
 		t.Run(name, func(t *testing.T) {
 			x, _ := newLimitedExchange(newGate())
 			must.Len(t, 2, x.targets())
 			now := time.Now()
-			x.gateway.Gate.Observe(backpressure.Life{Instance: "elsewhere"}, signals, now, now)
+			x.gateway.Gate.Observe(backpressure.Incarnation{Instance: "elsewhere"}, signals, now, now)
 			must.Len(t, 2, x.targets())
-			x.gateway.Gate.Observe(backpressure.Life{Instance: "a"}, signals, now, now)
+			x.gateway.Gate.Observe(backpressure.Incarnation{Instance: "a"}, signals, now, now)
 			must.Len(t, 1, x.targets())
 		})
 	}
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -37,8 +37,8 @@
 	case !x.mayHaveRun && x.gateway.View() == nil:
 		x.refuse(http.StatusServiceUnavailable, "instances_not_known", dispatch.ComeBack(dispatch.Starting))
 	case !x.mayHaveRun:
-		if next := x.nextSend(); next.In > 0 {
-			x.refuse(http.StatusServiceUnavailable, "upstream_backpressure", dispatch.ComeBackAfter(next.In))
+		if next := x.nextSend(); next.After > 0 {
+			x.refuse(http.StatusServiceUnavailable, "upstream_backpressure", dispatch.ComeBackAfter(next.After))
 			return
 		}
 		x.refuse(http.StatusServiceUnavailable, reason, dispatch.ComeBack(dispatch.Busy))
--- a/internal/gateway/targets.go
+++ b/internal/gateway/targets.go
@@ -88,7 +88,7 @@
 }
 
 // incarnations yields the incarnation of each target.
-func (l *targetList) incarnations(yield func(backpressure.Life) bool) {
+func (l *targetList) incarnations(yield func(backpressure.Incarnation) bool) {
 	for i := range l.targets {
 		if !yield(incarnationOf(&l.targets[i])) {
 			return
--- a/internal/gateway/targets_bench_test.go
+++ b/internal/gateway/targets_bench_test.go
@@ -72,7 +72,7 @@
 func BenchmarkTargetsWithALeavingInstance(b *testing.B) {
 	for _, instances := range []int{300, 3000, 8200} {
 		v, g := benchView(instances), &Gateway{Gate: newGate()}
-		g.Gate.Observe(backpressure.Life{Instance: "gone"}, backpressure.Signals{Leaving: true}, time.Time{}, time.Time{})
+		g.Gate.Observe(backpressure.Incarnation{Instance: "gone"}, backpressure.Signals{Leaving: true}, time.Time{}, time.Time{})
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -102,7 +102,7 @@
 func (x *Exchange) runOnce(ctx context.Context) {
 	n := x.Node
 	now := n.now()
-	if n.Serving() || n.Holding() && !n.opts.Gate.Quiet() {
+	if n.Serving() || n.Holding() && !n.opts.Gate.HasNoLimits() {
 		x.refreshRelays(ctx, now)
 	}
 	timed, cancel := context.WithTimeout(ctx, shareTimeout)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -84,15 +84,15 @@
 	asked := n.now()
 	if n.Holding() {
 		if n.grantsPermits() {
-			gate.Granted(n.grants.Grant(n.opts.Holder, gate.Limited(), n.permitShares(), asked), asked)
+			gate.AddPermits(n.grants.Grant(n.opts.Holder, gate.Limited(), n.permitShares(), asked), asked)
 		}
-		if !gate.Quiet() {
+		if !gate.HasNoLimits() {
 			n.syncLimitsWithZones(ctx, gate.Updates(asked), asked)
 		}
 		return
 	}
 	relay, _ := n.share.lastUsed()
-	if relay == "" || gate.Quiet() {
+	if relay == "" || gate.HasNoLimits() {
 		return
 	}
 	r, err := n.opts.Peers.SyncLimits(ctx, relay, LimitsRequest{From: n.opts.Holder, Updates: gate.Updates(asked), WantPermits: true})
@@ -100,7 +100,7 @@
 		return // after too long without an answer the gate falls back to its own rate
 	}
 	gate.Merge(r.Updates, backpressure.ReceivedAt{Earliest: asked, Latest: n.now()})
-	gate.Granted(r.Permits, asked)
+	gate.AddPermits(r.Permits, asked)
 }
 
 // syncLimitsWithZones exchanges updates with all other relays in parallel.
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -12,7 +12,7 @@
 	"pearlanding/internal/objectapi"
 )
 
-var limitedInstance = backpressure.Life{Instance: "i-1", Born: 7}
+var limitedInstance = backpressure.Incarnation{Instance: "i-1", StartedAt: 7}
 
 // receiveLimit makes a daemon observe a response that names a limit.
 func (d *daemon) receiveLimit(perSecond float64) {
@@ -40,7 +40,7 @@
 	z.exchangeAll()
 	z.exchangeAll()
 	for _, d := range []*daemon{relay, a, b} {
-		must.Eq(t, map[backpressure.Life]float64{limitedInstance: 2}, d.opts.Gate.Limited(), must.Sprint(d.name))
+		must.Eq(t, map[backpressure.Incarnation]float64{limitedInstance: 2}, d.opts.Gate.Limited(), must.Sprint(d.name))
 	}
 	must.Between(t, 12, z.countSends(10*time.Second), 20)
 	b.opts.Gate.Observe(limitedInstance, backpressure.Signals{Conclusive: true}, z.now, z.now)
@@ -59,9 +59,9 @@
 	relay.opts.Peers, relay.opts.Address = other, "here" // both zones name their daemons alike
 	x := &Exchange{Node: relay.Node, List: recordsOf("here", remoteRelay.name, "nobody")}
 	x.runOnce(t.Context())
-	must.Eq(t, map[backpressure.Life]float64{limitedInstance: 2}, remoteRelay.opts.Gate.Limited())
+	must.Eq(t, map[backpressure.Incarnation]float64{limitedInstance: 2}, remoteRelay.opts.Gate.Limited())
 	other.exchangeAll()
-	must.Eq(t, map[backpressure.Life]float64{limitedInstance: 2}, c.opts.Gate.Limited())
+	must.Eq(t, map[backpressure.Incarnation]float64{limitedInstance: 2}, c.opts.Gate.Limited())
 }
 
 // Guards against a relay that was cut off and replaced, and goes on granting permits beside its
