--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -37,7 +37,7 @@
 	method := string(x.c.Method())
 	k := &call{
 		method: method, uri: servicePath(x, name), header: forwardHeader(x), body: x.c.Request.Body(),
-		atMostOnce: slices.Contains(svc.OnceMethods, method) || string(x.c.GetHeader(HeaderRepeat)) == repeatNever,
+		atMostOnce: slices.Contains(svc.AtMostOnceMethods, method) || string(x.c.GetHeader(HeaderRepeat)) == repeatNever,
 		choose:     func(exclude []string, _ time.Time) *destination { return chooseInstance(svc, x.ws.Places, exclude) },
 		prepare:    func(h http.Header, _ *destination) { h.Set(HeaderRequestID, x.id) },
 		retryable:  func() bool { return isSafe(method) },
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -18,8 +18,8 @@
 	Places   []string `json:"places"`    // where replicas may run
 	WeightMB int      `json:"weight_mb"` // size of the model's weights
 	Priority int      `json:"priority"`  // 0..9, higher is repaired first
-	// Changed is the revision that last modified this entry.
-	Changed uint64 `json:"changed"`
+	// ModRevision is the revision that last modified this entry.
+	ModRevision uint64 `json:"changed"`
 }
 
 // Class is the priority class of a workspace's requests under load.
@@ -54,7 +54,7 @@
 	RatePerSecond float64             `json:"rate_per_second"`    // requests over all daemons; 0: no limit
 	Services      []string            `json:"services,omitempty"` // plain services that it may call
 	Models        map[string]ModelUse `json:"models"`             // by the model name that its requests use
-	Changed       uint64              `json:"changed"`            // revision that last modified this entry
+	ModRevision   uint64              `json:"changed"`            // revision that last modified this entry
 }
 
 // Instance is one address of a plain service.
@@ -66,9 +66,9 @@
 // Service is a service without a model that requests are also routed to.
 type Service struct {
 	Instances []Instance `json:"instances"`
-	// OnceMethods lists the HTTP methods whose calls must not be retried.
-	OnceMethods []string `json:"once_methods,omitempty"`
-	Changed     uint64   `json:"changed"` // revision that last modified this entry
+	// AtMostOnceMethods lists the HTTP methods whose calls must not be retried.
+	AtMostOnceMethods []string `json:"once_methods,omitempty"`
+	ModRevision       uint64   `json:"changed"` // revision that last modified this entry
 }
 
 // Doc is the whole configuration at one revision, each map keyed by name.
--- a/internal/catalog/merge.go
+++ b/internal/catalog/merge.go
@@ -37,13 +37,13 @@
 	switch ref.Kind {
 	case KindTemplate:
 		t, ok := d.Templates[ref.Name]
-		return t.Changed, ok
+		return t.ModRevision, ok
 	case KindWorkspace:
 		w, ok := d.Workspaces[ref.Name]
-		return w.Changed, ok
+		return w.ModRevision, ok
 	default:
 		s, ok := d.Services[ref.Name]
-		return s.Changed, ok
+		return s.ModRevision, ok
 	}
 }
 
@@ -67,15 +67,15 @@
 	switch ref.Kind {
 	case KindTemplate:
 		t := e.Doc.Templates[ref.Name]
-		t.Changed = revision
+		t.ModRevision = revision
 		doc.Templates[ref.Name] = t
 	case KindWorkspace:
 		w := e.Doc.Workspaces[ref.Name]
-		w.Changed = revision
+		w.ModRevision = revision
 		doc.Workspaces[ref.Name] = w
 	case KindService:
 		s := e.Doc.Services[ref.Name]
-		s.Changed = revision
+		s.ModRevision = revision
 		doc.Services[ref.Name] = s
 	}
 }
--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -187,7 +187,7 @@
 		if !slices.Contains([]string{"GET", "POST", "PUT", "PATCH", "DELETE"}, m) {
 			s.Fault("at_most_once", "%q is not an HTTP method", m)
 		}
-		svc.OnceMethods = append(svc.OnceMethods, m)
+		svc.AtMostOnceMethods = append(svc.AtMostOnceMethods, m)
 	}
 	s.Done()
 	e.Doc.Services[name] = svc
--- a/internal/catalog/render.go
+++ b/internal/catalog/render.go
@@ -22,7 +22,7 @@
 		if !ok {
 			return "", false
 		}
-		writeKey("revision", t.Changed)
+		writeKey("revision", t.ModRevision)
 		writeKey("model", t.Model)
 		writeKey("version", t.Version)
 		writeKey("vms", t.VMs)
@@ -35,7 +35,7 @@
 		if !ok {
 			return "", false
 		}
-		writeKey("revision", w.Changed)
+		writeKey("revision", w.ModRevision)
 		writeKey("token_sha256", w.TokenSHA256)
 		writeList("places", w.Places)
 		writeKey("class", w.Class)
@@ -50,13 +50,13 @@
 		if !ok {
 			return "", false
 		}
-		writeKey("revision", s.Changed)
+		writeKey("revision", s.ModRevision)
 		var instances []string
 		for _, i := range s.Instances {
 			instances = append(instances, i.Place+"@"+i.Address)
 		}
 		writeList("instances", instances)
-		writeList("at_most_once", s.OnceMethods)
+		writeList("at_most_once", s.AtMostOnceMethods)
 	default:
 		return "", false
 	}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -220,15 +220,15 @@
 	switch catalog.Kind(c.Param("kind")) {
 	case catalog.KindTemplate:
 		for name, e := range doc.Templates {
-			out = append(out, EntrySummary{name, e.Changed})
+			out = append(out, EntrySummary{name, e.ModRevision})
 		}
 	case catalog.KindWorkspace:
 		for name, e := range doc.Workspaces {
-			out = append(out, EntrySummary{name, e.Changed})
+			out = append(out, EntrySummary{name, e.ModRevision})
 		}
 	case catalog.KindService:
 		for name, e := range doc.Services {
-			out = append(out, EntrySummary{name, e.Changed})
+			out = append(out, EntrySummary{name, e.ModRevision})
 		}
 	default:
 		return problem.New(http.StatusNotFound, problem.CodeNotFound, "no kind %q", c.Param("kind"))
