--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -28,7 +28,7 @@
 // Handler answers the calls of peers. Its methods must be safe for concurrent use.
 type Handler interface {
 	Sync(ctx context.Context, req SyncRequest) (SyncReply, error)
-	Offer(ctx context.Context, head HeadCopy) (OfferReply, error)
+	Offer(ctx context.Context, head VersionedHead) (OfferReply, error)
 	Append(ctx context.Context, req AppendRequest) (AppendReply, error)
 }
 
@@ -53,11 +53,11 @@
 // caller counts them from the time it sent the request, so that no fact appears
 // younger than it is.
 type SyncReply struct {
-	Slot        string    `json:"slot"`
-	Incarnation string    `json:"incarnation"`
-	Revision    uint64    `json:"revision"` // revision that the peer has applied
-	HeadVersion uint64    `json:"head_version"`
-	Head        *HeadCopy `json:"head,omitempty"`
+	Slot        string         `json:"slot"`
+	Incarnation string         `json:"incarnation"`
+	Revision    uint64         `json:"revision"` // revision that the peer has applied
+	HeadVersion uint64         `json:"head_version"`
+	Head        *VersionedHead `json:"head,omitempty"`
 	// ContactAges holds, for each slot of the head in slot order, the time since the
 	// peer's last contact with that slot, in units of the admission lease divided by
 	// ContactAgeUnits. It is valid only if the caller has the same head version. Because
@@ -74,8 +74,8 @@
 // UnknownContactAge in ContactAges means no contact, or one too old to be encoded.
 const UnknownContactAge = 255
 
-// HeadCopy is a configuration head together with its object version.
-type HeadCopy struct {
+// VersionedHead is a configuration head together with its object version.
+type VersionedHead struct {
 	Version uint64        `json:"version"`
 	Head    revision.Head `json:"head"`
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -142,7 +142,7 @@
 
 // Offer applies a head that a peer wrote and returns once a published snapshot has the
 // version of this head or a newer one. It returns ctx's error if ctx ends first.
-func (c *Control) Offer(ctx context.Context, h cluster.HeadCopy) (cluster.OfferReply, error) {
+func (c *Control) Offer(ctx context.Context, h cluster.VersionedHead) (cluster.OfferReply, error) {
 	c.call(ctx, func(s *state, now time.Time) { s.observeHead(h.Head, h.Version, now) })
 	snap, err := c.Await(ctx, func(s *Snapshot) bool { return s.HeadVersion >= h.Version })
 	return cluster.OfferReply{Slot: snap.Slot, Incarnation: snap.Incarnation, Revision: snap.Head.Revision}, err
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -23,7 +23,7 @@
 		Slot: s.Slot, Incarnation: s.Incarnation, Revision: s.Head.Revision, HeadVersion: s.HeadVersion, PlatformAge: -1,
 	}
 	if req.HeadVersion < s.HeadVersion {
-		out.Head = &cluster.HeadCopy{Version: s.HeadVersion, Head: s.Head}
+		out.Head = &cluster.VersionedHead{Version: s.HeadVersion, Head: s.Head}
 	}
 	if !s.PlatformAsOf.IsZero() {
 		out.PlatformAge = ageMS(now, s.PlatformAsOf)
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -208,7 +208,7 @@
 		}
 		go func() {
 			var reply cluster.OfferReply
-			offered := cluster.HeadCopy{Version: version, Head: head}
+			offered := cluster.VersionedHead{Version: version, Head: head}
 			if m.peers.Call(ctx, member.Peer, cluster.MethodOffer, offered, &reply) == nil {
 				m.control.Acknowledged(reply)
 			}
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -23,7 +23,7 @@
 }
 
 // Offer implements cluster.Handler.
-func (h *peerHandler) Offer(ctx context.Context, head cluster.HeadCopy) (cluster.OfferReply, error) {
+func (h *peerHandler) Offer(ctx context.Context, head cluster.VersionedHead) (cluster.OfferReply, error) {
 	return h.control.Offer(ctx, head)
 }
 
