--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -15,8 +15,8 @@
 	Write time.Duration // for each write
 }
 
-// Bound returns a listener whose connections enforce the limits.
-func Bound(inner net.Listener, l Limits) net.Listener { return &listener{inner, l} }
+// NewListener returns a listener whose connections enforce the limits.
+func NewListener(inner net.Listener, l Limits) net.Listener { return &listener{inner, l} }
 
 type listener struct {
 	net.Listener
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	listener := Bound(inner, l)
+	listener := NewListener(inner, l)
 	t.Cleanup(func() { listener.Close() })
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	must.NoError(t, err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -241,8 +241,8 @@
 // serveHTTP creates the servers for callers and operators on the open listeners.
 func (d *Daemon) serveHTTP(l *Listeners) {
 	limits := connlimit.Limits{Idle: idleTimeout, Read: d.settings.Limits.ReadTimeout, Write: d.settings.Limits.WriteTimeout}
-	d.callers = d.api.Server(connlimit.Bound(l.Callers, limits))
-	d.operators = d.operator.Server(connlimit.Bound(l.Operators, limits))
+	d.callers = d.api.Server(connlimit.NewListener(l.Callers, limits))
+	d.operators = d.operator.Server(connlimit.NewListener(l.Operators, limits))
 }
 
 func reportError(failed chan<- error, err error) {
