--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -192,7 +192,7 @@
 	}
 	// Only digests are stored and compared, so timing reveals nothing about a token.
 	digest := sha256.Sum256([]byte(token))
-	name, ok := x.snap.ByDigest[hex.EncodeToString(digest[:])]
+	name, ok := x.snap.WorkspaceByDigest[hex.EncodeToString(digest[:])]
 	if !ok {
 		return problem.New(http.StatusUnauthorized, problem.CodeUnauthorized, "unknown token")
 	}
@@ -233,7 +233,7 @@
 func (a *API) acquireSlot(x *exchange) (func(), *problem.Problem) {
 	limits := admission.Limits{
 		MaxConcurrent: x.ws.MaxConcurrent, RatePerSecond: x.ws.RatePerSecond,
-		Daemons: len(x.snap.Live), OthersInUse: x.snap.OthersInUse[x.workspace],
+		Daemons: len(x.snap.LiveSlots), OthersInUse: x.snap.OthersInUse[x.workspace],
 	}
 	release, retryAfter, ok := a.Gate.Acquire(x.workspace, limits, time.Now())
 	if !ok {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -148,8 +148,8 @@
 	return cluster.OfferReply{Slot: snap.Slot, Incarnation: snap.Incarnation, Revision: snap.Head.Revision}, err
 }
 
-// Acknowledged records a peer's reply to an offer.
-func (c *Control) Acknowledged(r cluster.OfferReply) {
+// ObserveOfferReply records a peer's reply to an offer.
+func (c *Control) ObserveOfferReply(r cluster.OfferReply) {
 	c.enqueue(func(s *state, now time.Time) {
 		if s.head.Members[r.Slot].Incarnation == r.Incarnation {
 			s.acks.Note(r.Slot, r.Incarnation, r.Revision, now)
@@ -157,14 +157,14 @@
 	})
 }
 
-// Synced applies a peer's reply to a sync request that was sent at the given time.
-func (c *Control) Synced(r cluster.SyncReply, sent time.Time) {
+// ObserveSyncReply applies a peer's reply to a sync request that was sent at the given time.
+func (c *Control) ObserveSyncReply(r cluster.SyncReply, sent time.Time) {
 	c.enqueue(func(s *state, now time.Time) { s.observeSyncReply(r, sent, now) })
 }
 
-// Refused records that the address of a slot's daemon refused a connection at the
+// ObserveRefusal records that the address of a slot's daemon refused a connection at the
 // given time.
-func (c *Control) Refused(slot string, at time.Time) {
+func (c *Control) ObserveRefusal(slot string, at time.Time) {
 	c.enqueue(func(s *state, _ time.Time) { s.observeRefusal(slot, at) })
 }
 
@@ -198,8 +198,8 @@
 	return reply, nil
 }
 
-// Request returns the sync request to send to peers.
-func (c *Control) Request() cluster.SyncRequest { return c.Snapshot().request() }
+// NewSyncRequest returns the sync request to send to peers.
+func (c *Control) NewSyncRequest() cluster.SyncRequest { return c.Snapshot().request() }
 
 // The methods below implement group.View.
 
--- a/internal/control/slow_snapshot_test.go
+++ b/internal/control/slow_snapshot_test.go
@@ -48,7 +48,7 @@
 	must.NoError(t, err)
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); { // during an outage of the platform
 		for _, slot := range []string{"b", "c"} {
-			c.Synced(cluster.SyncReply{Slot: slot, Incarnation: "i", Revision: head.Revision, HeadVersion: 1}, time.Now())
+			c.ObserveSyncReply(cluster.SyncReply{Slot: slot, Incarnation: "i", Revision: head.Revision, HeadVersion: 1}, time.Now())
 		}
 		for next := time.Now().Add(sync); time.Now().Before(next); time.Sleep(10 * time.Millisecond) {
 			must.True(t, c.Snapshot().MayAdmit(time.Now()), must.Sprint("admits no requests although its peers answer"))
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -15,9 +15,9 @@
 // Peer is the known state of one registered daemon.
 type Peer struct {
 	revision.Member
-	State    PeerState
-	Revision uint64    // applied revision as of the last contact
-	HeardAt  time.Time // last contact; zero: none
+	State       PeerState
+	Revision    uint64    // applied revision as of the last contact
+	LastContact time.Time // last contact; zero: none
 	// Refused is set if its address refused a connection after the last contact: no
 	// process listens there.
 	Refused bool
@@ -39,15 +39,15 @@
 	// AcceptedUpTo is the highest revision known to be in force everywhere.
 	AcceptedUpTo uint64
 	// WaitingFor lists the slots that have not acknowledged the head's revision.
-	WaitingFor []string
-	Live       []string // slots of the daemons that can be assigned duties
-	owners     cluster.RendezvousHash
-	Peers      map[string]Peer             // by slot
-	Domains    map[string]group.Copy       // by name
-	Evidence   map[string]group.Evidence   // by group id
-	Targets    map[string][]*router.Target // by pool
-	ByDigest   map[string]string           // token digest -> workspace
-	Pools      []catalog.Pool
+	WaitingFor        []string
+	LiveSlots         []string // slots of the daemons that can be assigned duties
+	owners            cluster.RendezvousHash
+	Peers             map[string]Peer             // by slot
+	Domains           map[string]group.Copy       // by name
+	Evidence          map[string]group.Evidence   // by group id
+	Targets           map[string][]*router.Target // by pool
+	WorkspaceByDigest map[string]string           // token digest -> workspace
+	Pools             []catalog.Pool
 	// OthersInUse is the number of in-flight requests at the other live daemons, by
 	// workspace.
 	OthersInUse map[string]int
@@ -92,16 +92,16 @@
 		Head: s.head, HeadVersion: s.headVersion, Slot: s.cfg.Slot, Incarnation: s.cfg.Incarnation,
 		Registered: s.registered(), Stopping: s.stopping, AdmitUntil: s.lease.ValidUntil(),
 		PlatformAsOf: s.lease.PlatformAsOf(), AcceptedUpTo: s.acceptedUpTo, WaitingFor: waiting,
-		Live: s.liveSlots(now), Peers: s.peers(now), Domains: maps.Clone(s.domains), Evidence: maps.Clone(s.evidence),
+		LiveSlots: s.liveSlots(now), Peers: s.peers(now), Domains: maps.Clone(s.domains), Evidence: maps.Clone(s.evidence),
 		OthersInUse: s.othersInUse(now), Changed: make(chan struct{}),
 	}
 	if previous != nil && previous.HeadVersion == s.headVersion {
-		out.ByDigest, out.Pools = previous.ByDigest, previous.Pools
+		out.WorkspaceByDigest, out.Pools = previous.WorkspaceByDigest, previous.Pools
 	} else {
-		out.ByDigest, out.Pools = workspacesByDigest(s.head.Doc), s.head.Doc.Pools()
+		out.WorkspaceByDigest, out.Pools = workspacesByDigest(s.head.Doc), s.head.Doc.Pools()
 	}
 	out.Targets = s.targets(previous)
-	out.owners = cluster.NewRendezvousHash(out.Live)
+	out.owners = cluster.NewRendezvousHash(out.LiveSlots)
 	return out
 }
 
@@ -120,7 +120,7 @@
 		if slot == s.cfg.Slot {
 			contact.Revision, contact.At = s.head.Revision, now
 		}
-		out[slot] = Peer{Member: m, State: s.peerState(slot, now), Revision: contact.Revision, HeardAt: contact.At, Refused: contact.Refused.After(contact.At)}
+		out[slot] = Peer{Member: m, State: s.peerState(slot, now), Revision: contact.Revision, LastContact: contact.At, Refused: contact.Refused.After(contact.At)}
 	}
 	return out
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -83,7 +83,7 @@
 				s.recordContact(fmt.Sprintf("d%03d", j), revision.Hearing{Incarnation: "i", Revision: s.head.Revision, At: now})
 			}
 			snap := s.snapshot(now, nil)
-			must.SliceLen(t, n, snap.Live)
+			must.SliceLen(t, n, snap.LiveSlots)
 			for _, age := range []time.Duration{lease/4 - 1, lease / 4, lease/2 - 1, lease / 2} {
 				if snap.PollDue(now.Add(age), lease) {
 					due[age]++
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -63,11 +63,11 @@
 	for i, slot := range slots {
 		out[i] = cluster.UnknownContactAge
 		p := s.Peers[slot]
-		if p.HeardAt.IsZero() || p.Revision > s.Head.Revision {
+		if p.LastContact.IsZero() || p.Revision > s.Head.Revision {
 			continue
 		}
 		// Rounded up so that a relayed contact never appears younger than it is.
-		if age := (max(now.Sub(p.HeardAt), 0) + unit - 1) / unit; age < cluster.UnknownContactAge {
+		if age := (max(now.Sub(p.LastContact), 0) + unit - 1) / unit; age < cluster.UnknownContactAge {
 			out[i] = byte(age)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -119,7 +119,7 @@
 	tele.Gauge("pearlanding_requests_in_flight", func() float64 { return float64(d.api.InFlight()) })
 	tele.Gauge("pearlanding_config_revision", func() float64 { return float64(d.control.Snapshot().Head.Revision) })
 	tele.Gauge("pearlanding_config_accepted", func() float64 { return float64(d.control.Snapshot().AcceptedUpTo) })
-	tele.Gauge("pearlanding_peers_alive", func() float64 { return float64(len(d.control.Snapshot().Live)) })
+	tele.Gauge("pearlanding_peers_alive", func() float64 { return float64(len(d.control.Snapshot().LiveSlots)) })
 	tele.Gauge("pearlanding_admitting", func() float64 {
 		if d.control.Snapshot().MayAdmit(time.Now()) {
 			return 1
--- a/internal/daemon/membership.go
+++ b/internal/daemon/membership.go
@@ -92,7 +92,7 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	request := m.control.Request()
+	request := m.control.NewSyncRequest()
 	for _, slot := range others[:min(len(others), syncPeersPerRound)] {
 		go m.syncWith(ctx, slot, snap.Peers[slot].Peer, request)
 	}
@@ -105,9 +105,9 @@
 	m.responses.note(slot, sent, time.Now(), err)
 	switch {
 	case err == nil && reply.Slot == slot:
-		m.control.Synced(reply, sent)
+		m.control.ObserveSyncReply(reply, sent)
 	case errors.Is(err, rpc.ErrRefused):
-		m.control.Refused(slot, sent)
+		m.control.ObserveRefusal(slot, sent)
 	}
 }
 
@@ -210,7 +210,7 @@
 			var reply cluster.OfferReply
 			offered := cluster.VersionedHead{Version: version, Head: head}
 			if m.peers.Call(ctx, member.Peer, cluster.MethodOffer, offered, &reply) == nil {
-				m.control.Acknowledged(reply)
+				m.control.ObserveOfferReply(reply)
 			}
 		}()
 	}
@@ -247,7 +247,7 @@
 func (m *membership) removeSilent(ctx context.Context, snap *control.Snapshot) {
 	now := time.Now()
 	for slot, p := range snap.Peers {
-		last := p.HeardAt
+		last := p.LastContact
 		if last.Before(m.started) {
 			last = m.started
 		}
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -164,7 +164,7 @@
 	out := []DaemonView{}
 	for slot, p := range snap.Peers {
 		out = append(out, DaemonView{Slot: slot, State: p.State, Revision: p.Revision, Incarnation: p.Incarnation,
-			Place: p.Place, LastContactMS: ageMS(now, p.HeardAt)})
+			Place: p.Place, LastContactMS: ageMS(now, p.LastContact)})
 	}
 	sortBy(out, func(d DaemonView) string { return d.Slot })
 	return out
