--- a/cmd/pearlanding/trace.go
+++ b/cmd/pearlanding/trace.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	lines := decisionlog.Story(all, id)
+	lines := decisionlog.Trace(all, id)
 	if len(lines) == 0 {
 		return fail(fmt.Errorf("no line of request %s in these files: it succeeded at the first attempt and was not sampled, or it reached none of these daemons", id))
 	}
--- a/internal/decisionlog/trace.go
+++ b/internal/decisionlog/trace.go
@@ -97,13 +97,13 @@
 	"store does not answer": true, "store answers again": true, "relay lost": true, "relay used": true, "relay out of touch": true,
 }
 
-// Story returns, in order of time, the lines that explain one request: its own lines and, from
+// Trace returns, in order of time, the lines that explain one request: its own lines and, from
 // contextWindow before the first of them until the last, the state changes of the daemons that
 // logged them and every daemon's lines about the groups and instances that it was sent to. If its
 // own lines name a content, the lines of all daemons about this content are added whatever their
 // time, as a content may have been quarantined long before. It returns nil if no line has the
 // request's id.
-func Story(lines []Line, id string) []Line {
+func Trace(lines []Line, id string) []Line {
 	var ownLines []Line
 	for _, l := range lines {
 		if l.Fields["id"] == id {
--- a/internal/decisionlog/trace_test.go
+++ b/internal/decisionlog/trace_test.go
@@ -21,14 +21,14 @@
 	lines, err := ReadLines("log", strings.NewReader(savedLog))
 	must.NoError(t, err)
 	must.Len(t, 6, lines)
-	trace := Story(lines, "abc")
+	trace := Trace(lines, "abc")
 	must.Len(t, 3, trace)
 	must.Eq(t, "configuration in force", trace[0].Message)
 	must.Eq(t, "front-1", trace[0].Source)
 	must.Eq(t, "instance taken for dead", trace[1].Message)
 	must.Eq(t, "front-3", trace[1].Source)
 	must.StrContains(t, trace[2].String(), `status=502`)
-	must.SliceEmpty(t, Story(lines, "nobody"))
+	must.SliceEmpty(t, Trace(lines, "nobody"))
 }
 
 const quarantineLog = `
@@ -45,7 +45,7 @@
 func TestTraceHasLinesOnQuarantinedContent(t *testing.T) {
 	lines, err := ReadLines("log", strings.NewReader(quarantineLog))
 	must.NoError(t, err)
-	trace := Story(lines, "abc")
+	trace := Trace(lines, "abc")
 	var messages []string
 	for _, l := range trace {
 		messages = append(messages, l.Message)
@@ -64,6 +64,6 @@
 		for _, l := range lines {
 			_ = l.String()
 		}
-		Story(lines, "abc")
+		Trace(lines, "abc")
 	})
 }
