--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -10,24 +10,24 @@
 	reached int // instances that may have run the request
 }
 
-// Try counts a send that is about to be made.
-func (a *Attempts) Try() { a.sends++ }
+// CountSend counts a send that is about to be made.
+func (a *Attempts) CountSend() { a.sends++ }
 
-// Reached counts an instance that may have run the request.
-func (a *Attempts) Reached() { a.reached++ }
+// CountReached counts an instance that may have run the request.
+func (a *Attempts) CountReached() { a.reached++ }
 
-// NotRun undoes the count of the last instance, after it reported that it did not run the
+// UncountReached undoes the count of the last instance, after it reported that it did not run the
 // request. This matters once an earlier instance may have run the request: such a request can't
 // be refused as not run, and would fail when two replicas stop one after the other.
-func (a *Attempts) NotRun() { a.reached-- }
+func (a *Attempts) UncountReached() { a.reached-- }
 
-// Repeated reports whether another send would be a retry.
-func (a *Attempts) Repeated() bool { return a.reached > 0 }
+// NextIsRetry reports whether another send would be a retry.
+func (a *Attempts) NextIsRetry() bool { return a.reached > 0 }
 
-// Spent reports whether no further send may be made; limit is the number of instances that the
+// Exhausted reports whether no further send may be made; limit is the number of instances that the
 // route allows.
-func (a *Attempts) Spent(limit int) bool { return a.reached >= limit || a.sends >= maxSends }
+func (a *Attempts) Exhausted(limit int) bool { return a.reached >= limit || a.sends >= maxSends }
 
-// Last reports whether the current send is the last that the route allows; limit is the number of
+// IsLast reports whether the current send is the last that the route allows; limit is the number of
 // instances that the route allows.
-func (a *Attempts) Last(limit int) bool { return a.reached+1 >= limit }
+func (a *Attempts) IsLast(limit int) bool { return a.reached+1 >= limit }
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -12,28 +12,28 @@
 func TestSendThatDidNotRunIsNotAnAttempt(t *testing.T) {
 	const limit = 2
 	var a Attempts
-	reach := func() { a.Try(); a.Reached() }
+	reach := func() { a.CountSend(); a.CountReached() }
 	reach()
-	must.True(t, a.Last(limit))
+	must.True(t, a.IsLast(limit))
 	reach()
-	must.True(t, a.Spent(limit))
-	a.NotRun()
-	must.False(t, a.Spent(limit))
-	must.True(t, a.Repeated())
+	must.True(t, a.Exhausted(limit))
+	a.UncountReached()
+	must.False(t, a.Exhausted(limit))
+	must.True(t, a.NextIsRetry())
 	reach()
-	must.True(t, a.Spent(limit))
-	a.NotRun()
+	must.True(t, a.Exhausted(limit))
+	a.UncountReached()
 	reach()
-	a.NotRun()
-	must.True(t, a.Spent(limit), must.Sprint("four sends"))
+	a.UncountReached()
+	must.True(t, a.Exhausted(limit), must.Sprint("four sends"))
 }
 
 func TestFailedSendsAreBounded(t *testing.T) {
 	var a Attempts
 	for range maxSends {
-		must.False(t, a.Spent(2))
-		a.Try()
+		must.False(t, a.Exhausted(2))
+		a.CountSend()
 	}
-	must.True(t, a.Spent(2))
-	must.False(t, a.Repeated())
+	must.True(t, a.Exhausted(2))
+	must.False(t, a.NextIsRetry())
 }
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -65,16 +65,16 @@
 	return max(int64(now.Sub(b.origin)/(window/budgetSlots)), 0)
 }
 
-// Request counts one request.
-func (b *Budget) Request(rule BudgetRule, now time.Time) {
+// CountRequest counts one request.
+func (b *Budget) CountRequest(rule BudgetRule, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slot(rule, now).requests++
 	b.credit.add(usedRatio*rule.Ratio, now)
 }
 
-// Repeat counts one retry if the budget allows it. It returns false if the retry must not be made.
-func (b *Budget) Repeat(rule BudgetRule, now time.Time) bool {
+// TakeRetry counts one retry if the budget allows it. It returns false if the retry must not be made.
+func (b *Budget) TakeRetry(rule BudgetRule, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.remaining(rule, now) < 1 {
@@ -85,24 +85,24 @@
 	return true
 }
 
-// Return refunds a retry that was counted at now and not made.
-func (b *Budget) Return(rule BudgetRule, now time.Time) {
+// RefundRetry refunds a retry that was counted at now and not made.
+func (b *Budget) RefundRetry(rule BudgetRule, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slot(rule, now).retries--
 	b.credit.add(1, now)
 }
 
-// Spare removes and returns the credit beyond the one retry that this daemon keeps, for other
+// TakeSpareRetries removes and returns the credit beyond the one retry that this daemon keeps, for other
 // daemons that need more.
-func (b *Budget) Spare(now time.Time) float64 {
+func (b *Budget) TakeSpareRetries(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.credit.takeSurplus(now)
 }
 
-// Left returns how many retries could be made now.
-func (b *Budget) Left(rule BudgetRule, now time.Time) float64 {
+// RetriesLeft returns how many retries could be made now.
+func (b *Budget) RetriesLeft(rule BudgetRule, now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.remaining(rule, now)
@@ -130,8 +130,8 @@
 	services map[string]*Budget
 }
 
-// Of returns the budget of a service.
-func (b *Budgets) Of(service string) *Budget {
+// For returns the budget of a service.
+func (b *Budgets) For(service string) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.services == nil {
@@ -143,26 +143,26 @@
 	return b.services[service]
 }
 
-// Spare removes and returns the surplus credit of each service's budget.
-func (b *Budgets) Spare(now time.Time) map[string]float64 {
+// TakeSpareRetries removes and returns the surplus credit of each service's budget.
+func (b *Budgets) TakeSpareRetries(now time.Time) map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]float64{}
 	for service, budget := range b.services {
-		if n := budget.Spare(now); n > 0 {
+		if n := budget.TakeSpareRetries(now); n > 0 {
 			out[service] = n
 		}
 	}
 	return out
 }
 
-// Left returns how many retries each service's budget allows now.
-func (b *Budgets) Left(rule BudgetRule, now time.Time) map[string]float64 {
+// RetriesLeft returns how many retries each service's budget allows now.
+func (b *Budgets) RetriesLeft(rule BudgetRule, now time.Time) map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]float64, len(b.services))
 	for service, budget := range b.services {
-		out[service] = budget.Left(rule, now)
+		out[service] = budget.RetriesLeft(rule, now)
 	}
 	return out
 }
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -16,26 +16,26 @@
 func TestBudgetStartsEmpty(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
-	must.False(t, b.Repeat(testRule, now))
+	must.False(t, b.TakeRetry(testRule, now))
 	for range 5 {
-		b.Request(testRule, now)
-		must.False(t, b.Repeat(testRule, now))
+		b.CountRequest(testRule, now)
+		must.False(t, b.TakeRetry(testRule, now))
 	}
-	b.Request(testRule, now)
-	must.True(t, b.Repeat(testRule, now))
-	must.False(t, b.Repeat(testRule, now))
+	b.CountRequest(testRule, now)
+	must.True(t, b.TakeRetry(testRule, now))
+	must.False(t, b.TakeRetry(testRule, now))
 }
 
 func TestUnusedRetryIsRefunded(t *testing.T) {
 	b := NewBudget()
 	now := time.Unix(100, 0)
 	for range 6 {
-		b.Request(testRule, now)
+		b.CountRequest(testRule, now)
 	}
-	before := b.Left(testRule, now)
-	must.True(t, b.Repeat(testRule, now))
-	b.Return(testRule, now)
-	must.Eq(t, before, b.Left(testRule, now))
+	before := b.RetriesLeft(testRule, now)
+	must.True(t, b.TakeRetry(testRule, now))
+	b.RefundRetry(testRule, now)
+	must.Eq(t, before, b.RetriesLeft(testRule, now))
 }
 
 // 30 requests a second, and a domain of instances fails at once with a quarter of the requests
@@ -45,10 +45,10 @@
 	now := time.Unix(1000, 0)
 	for range 300 {
 		now = now.Add(time.Second / 30)
-		b.Request(testRule, now)
+		b.CountRequest(testRule, now)
 	}
 	for range 10 {
-		must.True(t, b.Repeat(testRule, now))
+		must.True(t, b.TakeRetry(testRule, now))
 	}
 }
 
@@ -59,10 +59,10 @@
 	slow := BudgetRule{Ratio: 0.5, Window: testRule.Window}
 	for range 3 {
 		now = now.Add(3 * time.Second)
-		b.Request(slow, now)
+		b.CountRequest(slow, now)
 	}
-	must.True(t, b.Repeat(slow, now))
-	must.False(t, b.Repeat(slow, now))
+	must.True(t, b.TakeRetry(slow, now))
+	must.False(t, b.TakeRetry(slow, now))
 }
 
 // However often the process restarts, the retries of one daemon in a window stay within the share
@@ -72,17 +72,17 @@
 		b, now, end := NewBudget(), time.Unix(1000, 0), time.Unix(1000, 0).Add(testRule.Window)
 		accruedBefore := 1.0
 		for range rapid.IntRange(0, 100).Draw(r, "before") {
-			b.Request(testRule, now)
+			b.CountRequest(testRule, now)
 			accruedBefore += testRule.Ratio
 		}
 		requests, retries := 0, 0
 		for !now.After(end) {
 			switch rapid.SampledFrom([]string{"request", "request", "repeat", "repeat", "restart"}).Draw(r, "what") {
 			case "request":
-				b.Request(testRule, now)
+				b.CountRequest(testRule, now)
 				requests++
 			case "repeat":
-				if b.Repeat(testRule, now) {
+				if b.TakeRetry(testRule, now) {
 					retries++
 				}
 			case "restart":
@@ -110,9 +110,9 @@
 		for range rapid.IntRange(10, 400).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(r, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(r, "request") {
-				b.Request(testRule, now)
+				b.CountRequest(testRule, now)
 				events = append(events, event{now, true})
-			} else if b.Repeat(testRule, now) {
+			} else if b.TakeRetry(testRule, now) {
 				events = append(events, event{now, false})
 			}
 		}
@@ -138,9 +138,9 @@
 	b := NewBudget()
 	now := time.Unix(1000, 0)
 	for range 1000 {
-		b.Request(testRule, now)
+		b.CountRequest(testRule, now)
 	}
-	must.Positive(t, b.Left(testRule, now))
+	must.Positive(t, b.RetriesLeft(testRule, now))
 	later := now.Add(testRule.Window + time.Second)
-	must.Eq(t, 0, b.Left(testRule, later))
+	must.Eq(t, 0, b.RetriesLeft(testRule, later))
 }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -20,16 +20,16 @@
 // load best by its own requests alone.
 const maxOwnLoadDaemons = 16
 
-// Others holds the reports of the other daemons, summed up.
-type Others struct {
-	Daemons  int                // daemons that reported, including this one
-	InFlight map[string]int     // requests in flight of the other daemons, by instance
-	Standing map[fleet.Key]bool // groups that several daemons see stalled and no daemon sees progressing
+// PeerReports holds the reports of the other daemons, summed up.
+type PeerReports struct {
+	Daemons       int                // daemons that reported, including this one
+	InFlight      map[string]int     // requests in flight of the other daemons, by instance
+	StalledGroups map[fleet.Key]bool // groups that several daemons see stalled and no daemon sees progressing
 }
 
-// Loaded stores what the other daemons reported, as of now. The caller must not change others
+// SetPeerReports stores what the other daemons reported, as of now. The caller must not change others
 // afterwards.
-func (p *Picker) Loaded(others Others, now time.Time) {
+func (p *Picker) SetPeerReports(others PeerReports, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.others, p.othersAt = others, now
@@ -42,12 +42,12 @@
 // A daemon without another stream there can't detect the stall itself and would wait for
 // longer than the objective.
 func (p *Picker) reportedStalled(t *Target, now time.Time) bool {
-	return now.Sub(p.othersAt) < stallReportTTL && p.others.Standing[t.Group]
+	return now.Sub(p.othersAt) < stallReportTTL && p.others.StalledGroups[t.Group]
 }
 
-// Progress returns the groups whose running streams stalled recently at this daemon, and those
+// GroupProgress returns the groups whose running streams stalled recently at this daemon, and those
 // whose running streams make progress.
-func (p *Picker) Progress(now time.Time) (stalled, progressing []fleet.Key) {
+func (p *Picker) GroupProgress(now time.Time) (stalled, progressing []fleet.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.records {
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -55,7 +55,7 @@
 				continue
 			}
 			busy[s.t.Instance]--
-			s.p.Done(s.t)
+			s.p.Release(s.t)
 		}
 		streams = running
 		if c.reportAge > 0 && at-lastReport >= c.reportAge {
@@ -72,7 +72,7 @@
 				for id, n := range sum {
 					others[id] = n - own[id]
 				}
-				p.Loaded(Others{Daemons: c.daemons, InFlight: others}, now)
+				p.SetPeerReports(PeerReports{Daemons: c.daemons, InFlight: others}, now)
 			}
 		}
 		d := rng.IntN(c.daemons)
@@ -131,23 +131,23 @@
 func TestFewDaemonsUseReportedStalls(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 })
 	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
-	p.Loaded(Others{Daemons: 7, InFlight: map[string]int{"here": 30}}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 7, InFlight: map[string]int{"here": 30}}, t0)
 	must.Eq(t, "here", pickOne(p, t0, group, there))
-	p.Loaded(Others{Daemons: 7, Standing: map[fleet.Key]bool{group.Group: true}}, t0)
-	must.Eq(t, Still, p.Health(&group, t0))
+	p.SetPeerReports(PeerReports{Daemons: 7, StalledGroups: map[fleet.Key]bool{group.Group: true}}, t0)
+	must.Eq(t, Unhealthy, p.Health(&group, t0))
 }
 
 // An expired report, or none, leaves the choice to the daemon's own streams.
 func TestExpiredLoadReportsAreIgnored(t *testing.T) {
 	p := testPicker()
-	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"here": 50}}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 100, InFlight: map[string]int{"here": 50}}, t0)
 	must.Eq(t, "here", pickOne(p, t0.Add(loadTTL), here, there))
 }
 
 // Unhealthy targets are candidates only if all are unhealthy.
 func TestHealthyCandidatesArePreferred(t *testing.T) {
 	p := NewPicker("z", func(int) int { return 0 })
-	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"there": 30}}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 100, InFlight: map[string]int{"there": 30}}, t0)
 	p.Suspect(&here, t0)
 	must.Eq(t, "there", pickOne(p, t0, here, there))
 	p.Suspect(&there, t0)
@@ -157,7 +157,7 @@
 // Requests in flight at other daemons count like own requests.
 func TestReportedRequestsCountTowardsLoad(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 }) // the random candidate is the last target; of ties the first is kept
-	p.Loaded(Others{Daemons: 100, InFlight: map[string]int{"here": 3}}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 100, InFlight: map[string]int{"here": 3}}, t0)
 	must.Eq(t, "there", pickOne(p, t0, here, there))
 	must.Eq(t, map[string]int{}, p.InFlight())
 	p.Pick([]Target{here}, nil, t0)
@@ -172,17 +172,17 @@
 	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
 	nextEpoch := group
 	nextEpoch.Group.Epoch = 4
-	p.Loaded(Others{Daemons: 100, Standing: map[fleet.Key]bool{group.Group: true}}, t0)
-	must.Eq(t, Still, p.Health(&group, t0))
+	p.SetPeerReports(PeerReports{Daemons: 100, StalledGroups: map[fleet.Key]bool{group.Group: true}}, t0)
+	must.Eq(t, Unhealthy, p.Health(&group, t0))
 	must.Eq(t, "there", pickOne(p, t0, group, there))
 	must.Eq(t, Unknown, p.Health(&nextEpoch, t0), must.Sprint("its head leads a new epoch of the group"))
 	must.Eq(t, "here", pickOne(p, t0, nextEpoch, there))
 	must.Eq(t, Unknown, p.Health(&group, t0.Add(stallReportTTL)))
 	p.Pick([]Target{group}, nil, t0)
-	p.Waits(&group, minStallTimeout, t0)
-	p.Runs(&group, "m", t0, t0)
-	p.Progressed(&group, t0)
-	must.Eq(t, Alive, p.Health(&group, t0), must.Sprint("its streams make progress at this daemon"))
+	p.NoteSent(&group, minStallTimeout, t0)
+	p.NoteFirstEvent(&group, "m", t0, t0)
+	p.NoteProgress(&group, t0)
+	must.Eq(t, Progressing, p.Health(&group, t0), must.Sprint("its streams make progress at this daemon"))
 	must.Eq(t, "here", pickOne(p, t0, group))
 }
 
@@ -192,13 +192,13 @@
 	a.Group, b.Group = fleet.Key{Name: "a", Epoch: 1}, fleet.Key{Name: "b", Epoch: 1}
 	for _, target := range []*Target{&a, &b} {
 		p.Pick([]Target{*target}, nil, t0)
-		p.Waits(target, minStallTimeout, t0)
-		p.Progressed(target, t0)
-		p.Runs(target, "m", t0, t0)
+		p.NoteSent(target, minStallTimeout, t0)
+		p.NoteProgress(target, t0)
+		p.NoteFirstEvent(target, "m", t0, t0)
 	}
 	later := t0.Add(time.Second)
-	p.Progressed(&b, later)
-	stalled, progressing := p.Progress(later)
+	p.NoteProgress(&b, later)
+	stalled, progressing := p.GroupProgress(later)
 	must.Eq(t, []fleet.Key{a.Group}, stalled)
 	must.Eq(t, []fleet.Key{b.Group}, progressing)
 }
--- a/internal/dispatch/move.go
+++ b/internal/dispatch/move.go
@@ -13,36 +13,36 @@
 	defaultFirstEvent = 2 * time.Second
 )
 
-// Silence describes a stream that was sent and is currently silent.
-type Silence struct {
-	Begun    bool          // it had events before, and none since for its stall timeout
-	Waited   time.Duration // time since it was sent
-	Patience time.Duration // stall timeout of its first event
-	Replica  Health        // as seen by all streams of this daemon there
+// SilentStream describes a stream that was sent and is currently silent.
+type SilentStream struct {
+	Begun        bool          // it had events before, and none since for its stall timeout
+	Waited       time.Duration // time since it was sent
+	StallTimeout time.Duration // stall timeout of its first event
+	Replica      Health        // as seen by all streams of this daemon there
 }
 
-// Move reports whether the stream should be moved. A stream that has begun and exceeds its stall
+// ShouldMove reports whether the stream should be moved. A stream that has begun and exceeds its stall
 // timeout is moved in any case: either its answer is lost or its replica is stalled.
-func (s Silence) Move() bool {
-	if s.Replica == Still || s.Begun {
+func (s SilentStream) ShouldMove() bool {
+	if s.Replica == Unhealthy || s.Begun {
 		return true
 	}
-	if s.Replica == Alive {
+	if s.Replica == Progressing {
 		return false
 	}
-	return s.Waited >= s.Patience
+	return s.Waited >= s.StallTimeout
 }
 
-// FirstLook returns how long after its send a stream is first checked for silence.
-func (p Patience) FirstLook() time.Duration { return min(p.First, p.Pause) }
+// FirstCheck returns how long after its send a stream is first checked for silence.
+func (p StallTimeouts) FirstCheck() time.Duration { return min(p.First, p.Pause) }
 
 // resendShare is the share of a route's objective after which a retryable plain request without
 // an answer is sent to another instance. A much earlier resend would give the upstream no chance;
 // half leaves the other half for the second send.
 const resendShare = 0.5
 
-// PlainPatience returns how long a retryable plain request may go without an answer before it is
+// PlainTimeout returns how long a retryable plain request may go without an answer before it is
 // sent to another instance; 0: no limit.
-func PlainPatience(objective time.Duration) time.Duration {
+func PlainTimeout(objective time.Duration) time.Duration {
 	return time.Duration(resendShare * float64(objective))
 }
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -11,12 +11,12 @@
 
 // Target is an instance, or a group by its head, that a request may be sent to.
 type Target struct {
-	Instance string // id of the instance, or of a group's head
-	Born     int64  // start time of its incarnation; 0: unknown
-	Address  string
-	Zone     string
-	Group    fleet.Key     // zero for an instance of a plain service
-	Quiet    time.Duration // stall timeout of its running streams; 0: unknown
+	Instance     string // id of the instance, or of a group's head
+	StartedAt    int64  // start time of its incarnation; 0: unknown
+	Address      string
+	Zone         string
+	Group        fleet.Key     // zero for an instance of a plain service
+	StallTimeout time.Duration // stall timeout of its running streams; 0: unknown
 }
 
 // incarnation is one run of an instance under its id. Observations of one incarnation
@@ -26,7 +26,7 @@
 	startedAt int64
 }
 
-func (t *Target) incarnation() incarnation { return incarnation{t.Instance, t.Born} }
+func (t *Target) incarnation() incarnation { return incarnation{t.Instance, t.StartedAt} }
 
 // Weights of the score, in requests in flight.
 const (
@@ -72,7 +72,7 @@
 	records  map[incarnation]*record
 	floors   map[string]time.Duration // fastest recent first events, by model
 	stats    map[string]*modelStats   // by model
-	others   Others                   // reports of the other daemons
+	others   PeerReports              // reports of the other daemons
 	othersAt time.Time                // when they were received
 	stalls   chan struct{}
 	// Scratch space of Pick, reused because there may be thousands of targets.
@@ -87,7 +87,7 @@
 }
 
 // Pick returns the least loaded target that was not tried, nil if there is none. The request
-// counts as in flight until its end is recorded: by Ended for a stream that was sent, by Done
+// counts as in flight until its end is recorded: by EndStream for a stream that was sent, by Release
 // otherwise.
 func (p *Picker) Pick(targets []Target, tried map[string]bool, now time.Time) *Target {
 	p.mu.Lock()
@@ -98,7 +98,7 @@
 	}
 	r := p.record(best.target.incarnation())
 	r.inFlight++
-	r.usedAt, r.stallTimeout, r.group = now, max(best.target.Quiet, minStallTimeout), best.target.Group
+	r.usedAt, r.stallTimeout, r.group = now, max(best.target.StallTimeout, minStallTimeout), best.target.Group
 	return best.target
 }
 
@@ -159,9 +159,9 @@
 type Health int
 
 const (
-	Unknown Health = iota // no running stream or report shows its state
-	Alive                 // running streams make progress
-	Still                 // running streams are stalled, or requests failed recently
+	Unknown     Health = iota // no running stream or report shows its state
+	Progressing               // running streams make progress
+	Unhealthy                 // running streams are stalled, or requests failed recently
 )
 
 // Health returns the known state of a target.
@@ -171,11 +171,11 @@
 	r := p.records[t.incarnation()]
 	switch {
 	case r != nil && (r.stalled(now) || now.Before(r.suspectUntil)):
-		return Still
+		return Unhealthy
 	case r != nil && r.running > 0:
-		return Alive
+		return Progressing
 	case p.reportedStalled(t, now):
-		return Still
+		return Unhealthy
 	}
 	return Unknown
 }
@@ -190,9 +190,9 @@
 	return r
 }
 
-// Waits records that a stream was sent and waits for its first event. stallTimeout applies from now
+// NoteSent records that a stream was sent and waits for its first event. stallTimeout applies from now
 // on to all running streams of the target.
-func (p *Picker) Waits(t *Target, stallTimeout time.Duration, now time.Time) {
+func (p *Picker) NoteSent(t *Target, stallTimeout time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.record(t.incarnation())
@@ -200,8 +200,8 @@
 	r.waiting = append(r.waiting, now)
 }
 
-// Runs records the first event of a stream that was sent at a time.
-func (p *Picker) Runs(t *Target, model string, sent, now time.Time) {
+// NoteFirstEvent records the first event of a stream that was sent at a time.
+func (p *Picker) NoteFirstEvent(t *Target, model string, sent, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.updateFloor(model, now.Sub(sent))
@@ -226,23 +226,23 @@
 	p.floors[model] = floor + time.Duration(floorRise*float64(wait-floor))
 }
 
-// Floor returns the fastest recent first event of a model, which is the time that one takes without
+// FastestFirstEvent returns the fastest recent first event of a model, which is the time that one takes without
 // queueing; 0: unknown.
-func (p *Picker) Floor(model string) time.Duration {
+func (p *Picker) FastestFirstEvent(model string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.floors[model]
 }
 
-// Done records the end of a plain request at a target, or that a picked target is not used.
-func (p *Picker) Done(t *Target) {
+// Release records the end of a plain request at a target, or that a picked target is not used.
+func (p *Picker) Release(t *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.record(t.incarnation()).inFlight--
 }
 
-// Ended records the end of a stream that was sent at a time; ran reports whether it had any event.
-func (p *Picker) Ended(t *Target, sent time.Time, ran bool) {
+// EndStream records the end of a stream that was sent at a time; ran reports whether it had any event.
+func (p *Picker) EndStream(t *Target, sent time.Time, ran bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.record(t.incarnation())
@@ -254,8 +254,8 @@
 	}
 }
 
-// Progressed records that a target made progress on a request.
-func (p *Picker) Progressed(t *Target, now time.Time) {
+// NoteProgress records that a target made progress on a request.
+func (p *Picker) NoteProgress(t *Target, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.record(t.incarnation())
@@ -293,8 +293,8 @@
 	return out
 }
 
-// Still returns the instances whose running streams are stalled, and those that failed recently.
-func (p *Picker) Still(now time.Time) []string {
+// Unhealthy returns the instances whose running streams are stalled, and those that failed recently.
+func (p *Picker) Unhealthy(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
@@ -306,8 +306,8 @@
 	return out
 }
 
-// NoteStopped records that a running stream stalled and was moved.
-func (p *Picker) NoteStopped(t *Target, now time.Time) {
+// NoteStall records that a running stream stalled and was moved.
+func (p *Picker) NoteStall(t *Target, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.record(t.incarnation()).stalledAt = now
@@ -317,12 +317,12 @@
 	}
 }
 
-// Stops is signalled when a running stream stalled and was moved.
-func (p *Picker) Stops() <-chan struct{} { return p.stalls }
+// Stalls is signalled when a running stream stalled and was moved.
+func (p *Picker) Stalls() <-chan struct{} { return p.stalls }
 
-// Stopped returns the instances, in order, at which running streams of this daemon stalled
+// RecentlyStalled returns the instances, in order, at which running streams of this daemon stalled
 // recently and made no progress since.
-func (p *Picker) Stopped(now time.Time) []string {
+func (p *Picker) RecentlyStalled(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
--- a/internal/dispatch/picker_bench_test.go
+++ b/internal/dispatch/picker_bench_test.go
@@ -16,20 +16,20 @@
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			now := time.Unix(1000, 0)
 			p := NewPicker("z0", rand.New(rand.NewPCG(1, 2)).IntN)
-			others := Others{Daemons: 300, InFlight: map[string]int{}}
+			others := PeerReports{Daemons: 300, InFlight: map[string]int{}}
 			targets := make([]Target, replicas)
 			for i := range targets {
 				id := fmt.Sprintf("i-%05d", i)
-				targets[i] = Target{Instance: id, Born: 1, Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Group: fleet.Key{Name: "g" + id, Epoch: 1}}
+				targets[i] = Target{Instance: id, StartedAt: 1, Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Group: fleet.Key{Name: "g" + id, Epoch: 1}}
 				others.InFlight[id] = i % 7
 			}
 			for i := range min(replicas, 100) {
 				p.Pick(targets[i:i+1], nil, now)
 			}
-			p.Loaded(others, now)
+			p.SetPeerReports(others, now)
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Done(p.Pick(targets, nil, now))
+				p.Release(p.Pick(targets, nil, now))
 			}
 		})
 	}
--- a/internal/dispatch/picker_test.go
+++ b/internal/dispatch/picker_test.go
@@ -22,7 +22,7 @@
 	if t == nil {
 		return ""
 	}
-	p.Done(t)
+	p.Release(t)
 	return t.Instance
 }
 
@@ -41,21 +41,21 @@
 func TestWaitingStreamDoesNotStallTarget(t *testing.T) {
 	p := testPicker()
 	p.Pick([]Target{here}, nil, t0)
-	p.Waits(&here, minStallTimeout, t0)
+	p.NoteSent(&here, minStallTimeout, t0)
 	must.Eq(t, Unknown, p.Health(&here, t0.Add(time.Second)))
 }
 
 func TestTargetStallsWithItsRunningStreams(t *testing.T) {
 	p := testPicker()
 	p.Pick([]Target{here}, nil, t0)
-	p.Waits(&here, minStallTimeout, t0)
-	p.Progressed(&here, t0.Add(100*time.Millisecond))
-	p.Runs(&here, "m", t0, t0.Add(100*time.Millisecond))
-	must.Eq(t, Alive, p.Health(&here, t0.Add(200*time.Millisecond)))
-	must.Eq(t, Still, p.Health(&here, t0.Add(time.Second)))
-	must.Eq(t, []string{"here"}, p.Still(t0.Add(time.Second)))
+	p.NoteSent(&here, minStallTimeout, t0)
+	p.NoteProgress(&here, t0.Add(100*time.Millisecond))
+	p.NoteFirstEvent(&here, "m", t0, t0.Add(100*time.Millisecond))
+	must.Eq(t, Progressing, p.Health(&here, t0.Add(200*time.Millisecond)))
+	must.Eq(t, Unhealthy, p.Health(&here, t0.Add(time.Second)))
+	must.Eq(t, []string{"here"}, p.Unhealthy(t0.Add(time.Second)))
 	must.Eq(t, "there", pickOne(p, t0.Add(time.Second), here, there))
-	p.Ended(&here, t0, true)
+	p.EndStream(&here, t0, true)
 	must.Eq(t, Unknown, p.Health(&here, t0.Add(time.Second)))
 }
 
@@ -63,13 +63,13 @@
 // unless the target made progress since.
 func TestRecentStallsAreListed(t *testing.T) {
 	p := testPicker()
-	must.SliceEmpty(t, p.Stopped(t0))
-	p.NoteStopped(&here, t0)
-	must.Eq(t, []string{"here"}, p.Stopped(t0.Add(recentStall-1)))
-	must.SliceEmpty(t, p.Stopped(t0.Add(recentStall)))
-	p.NoteStopped(&here, t0)
-	p.Progressed(&here, t0.Add(time.Millisecond))
-	must.SliceEmpty(t, p.Stopped(t0.Add(2*time.Millisecond)))
+	must.SliceEmpty(t, p.RecentlyStalled(t0))
+	p.NoteStall(&here, t0)
+	must.Eq(t, []string{"here"}, p.RecentlyStalled(t0.Add(recentStall-1)))
+	must.SliceEmpty(t, p.RecentlyStalled(t0.Add(recentStall)))
+	p.NoteStall(&here, t0)
+	p.NoteProgress(&here, t0.Add(time.Millisecond))
+	must.SliceEmpty(t, p.RecentlyStalled(t0.Add(2*time.Millisecond)))
 }
 
 func TestSuspicionDoublesUntilProgress(t *testing.T) {
@@ -78,11 +78,11 @@
 	for _, want := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion, maxSuspicion} {
 		p.Suspect(&here, now)
 		p.Suspect(&here, now) // one of several requests that failed together
-		must.Eq(t, Still, p.Health(&here, now.Add(want-1)))
+		must.Eq(t, Unhealthy, p.Health(&here, now.Add(want-1)))
 		must.Eq(t, Unknown, p.Health(&here, now.Add(want)))
 		now = now.Add(want)
 	}
-	p.Progressed(&here, now)
+	p.NoteProgress(&here, now)
 	p.Suspect(&here, now)
 	must.Eq(t, Unknown, p.Health(&here, now.Add(minSuspicion)))
 }
@@ -95,12 +95,12 @@
 	must.Eq(t, 0, lowest)
 	for i := range targets {
 		p.Pick(targets[i:i+1], nil, t0)
-		p.Waits(&targets[i], minStallTimeout, t0)
+		p.NoteSent(&targets[i], minStallTimeout, t0)
 	}
 	lowest, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
 	must.Eq(t, 300*time.Millisecond, lowest)
-	p.Progressed(&there, t0.Add(200*time.Millisecond))
-	p.Runs(&there, "m", t0, t0.Add(200*time.Millisecond))
+	p.NoteProgress(&there, t0.Add(200*time.Millisecond))
+	p.NoteFirstEvent(&there, "m", t0, t0.Add(200*time.Millisecond))
 	lowest, _ = p.earliestFirstEvent(targets, t0.Add(300*time.Millisecond))
 	must.Eq(t, 100*time.Millisecond, lowest, must.Sprint("its queue has been draining for a tenth of a second"))
 	lowest, _ = p.earliestFirstEvent(targets, t0.Add(400*time.Millisecond))
@@ -116,24 +116,24 @@
 func TestPickUsesCurrentWaits(t *testing.T) {
 	p, other := testPicker(), Target{Instance: "other", Zone: "z"}
 	p.Pick([]Target{here}, nil, t0)
-	p.Waits(&here, minStallTimeout, t0)
-	p.Runs(&here, "m", t0, t0.Add(400*time.Millisecond))
-	p.Ended(&here, t0, true)
+	p.NoteSent(&here, minStallTimeout, t0)
+	p.NoteFirstEvent(&here, "m", t0, t0.Add(400*time.Millisecond))
+	p.EndStream(&here, t0, true)
 	now := t0.Add(410 * time.Millisecond)
 	must.Eq(t, "here", pickOne(p, now, here, other))
 	p.Pick([]Target{here}, nil, now)
-	p.Waits(&here, minStallTimeout, now)
+	p.NoteSent(&here, minStallTimeout, now)
 	must.Eq(t, "other", pickOne(p, now.Add(100*time.Millisecond), here, other))
 }
 
 func TestFloorRisesSlowly(t *testing.T) {
 	p := testPicker()
-	must.Eq(t, 0, p.Floor("m"))
-	p.Runs(&here, "m", t0, t0.Add(200*time.Millisecond))
-	p.Runs(&here, "m", t0, t0.Add(150*time.Millisecond))
-	must.Eq(t, 150*time.Millisecond, p.Floor("m"))
-	p.Runs(&here, "m", t0, t0.Add(time.Second))
-	must.Between(t, 150*time.Millisecond, p.Floor("m"), 152*time.Millisecond)
+	must.Eq(t, 0, p.FastestFirstEvent("m"))
+	p.NoteFirstEvent(&here, "m", t0, t0.Add(200*time.Millisecond))
+	p.NoteFirstEvent(&here, "m", t0, t0.Add(150*time.Millisecond))
+	must.Eq(t, 150*time.Millisecond, p.FastestFirstEvent("m"))
+	p.NoteFirstEvent(&here, "m", t0, t0.Add(time.Second))
+	must.Between(t, 150*time.Millisecond, p.FastestFirstEvent("m"), 152*time.Millisecond)
 }
 
 func TestUnusedRecordsExpire(t *testing.T) {
@@ -150,20 +150,20 @@
 func TestSuspicionEndsWithIncarnation(t *testing.T) {
 	p := testPicker()
 	next := here
-	next.Born = 2
+	next.StartedAt = 2
 	p.Pick([]Target{here}, nil, t0)
 	p.Suspect(&here, t0)
-	must.Eq(t, Still, p.Health(&here, t0.Add(time.Millisecond)))
+	must.Eq(t, Unhealthy, p.Health(&here, t0.Add(time.Millisecond)))
 	must.Eq(t, Unknown, p.Health(&next, t0.Add(time.Millisecond)))
 	must.Eq(t, "here", pickOne(p, t0.Add(time.Millisecond), next, there))
-	p.Done(&here)
+	p.Release(&here)
 	must.Eq(t, "here", pickOne(p, t0.Add(time.Millisecond), next, there))
 }
 
 // Guards against allocating lists of all replicas for each choice.
 func TestPickDoesNotAllocate(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 })
-	p.Loaded(Others{Daemons: 100}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 100}, t0)
 	targets := make([]Target, 500)
 	for i := range targets {
 		targets[i] = Target{Instance: fmt.Sprint(i), Zone: "z"}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -19,26 +19,26 @@
 	extraShare = 0.25
 )
 
-// PoolRule determines the credit that a pool receives in addition to what daemons hand over.
-type PoolRule struct {
+// RetryPoolRule determines the credit that a pool receives in addition to what daemons hand over.
+type RetryPoolRule struct {
 	Extra  float64 // retries per window of all daemons together, in addition to the ratio
 	Window time.Duration
 	Pools  int // number of pools that share it
 }
 
 // refillRate returns the retries a second that one pool receives without requests.
-func (r PoolRule) refillRate() float64 {
+func (r RetryPoolRule) refillRate() float64 {
 	if r.Window <= 0 || r.Pools <= 0 {
 		return 0
 	}
 	return extraShare * r.Extra / r.Window.Seconds() / float64(r.Pools)
 }
 
-// Pool holds surplus credit for retries, by service, for daemons that have used up their own: a
+// RetryPool holds surplus credit for retries, by service, for daemons that have used up their own: a
 // daemon with few requests has no credit when it needs it, while all daemons together use a part of
 // theirs. A daemon that takes over as the relay starts with an empty pool. Safe for concurrent use;
 // time is passed in.
-type Pool struct {
+type RetryPool struct {
 	mu       sync.Mutex
 	services map[string]*pooledCredit
 }
@@ -49,7 +49,7 @@
 }
 
 // credit returns the credit of a service as of now; p.mu is held.
-func (p *Pool) credit(service string, rule PoolRule, now time.Time) *pooledCredit {
+func (p *RetryPool) credit(service string, rule RetryPoolRule, now time.Time) *pooledCredit {
 	if p.services == nil {
 		p.services = map[string]*pooledCredit{}
 	}
@@ -65,8 +65,8 @@
 	return c
 }
 
-// Put adds the credit that a daemon handed over, by service.
-func (p *Pool) Put(credit map[string]float64, rule PoolRule, now time.Time) {
+// Add adds the credit that a daemon handed over, by service.
+func (p *RetryPool) Add(credit map[string]float64, rule RetryPoolRule, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for service, n := range credit {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Take takes the credit of one retry; false: the service has less than that.
-func (p *Pool) Take(service string, rule PoolRule, now time.Time) bool {
+// TakeRetry takes the credit of one retry; false: the service has less than that.
+func (p *RetryPool) TakeRetry(service string, rule RetryPoolRule, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.credit(service, rule, now)
@@ -89,7 +89,7 @@
 }
 
 // Levels returns the credit of each service.
-func (p *Pool) Levels(rule PoolRule, now time.Time) map[string]float64 {
+func (p *RetryPool) Levels(rule RetryPoolRule, now time.Time) map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]float64, len(p.services))
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -45,11 +45,11 @@
 	steps := int(l.duration / halfSecond)
 	counts = sharedCounts{make([]int, steps), make([]int, steps)}
 	start := time.Unix(1000, 0)
-	rule := PoolRule{Extra: float64(l.extra), Window: testRule.Window, Pools: l.zones}
-	pools := make([]*Pool, l.zones)
+	rule := RetryPoolRule{Extra: float64(l.extra), Window: testRule.Window, Pools: l.zones}
+	pools := make([]*RetryPool, l.zones)
 	daemons := make([]*pooledDaemon, l.daemons)
 	for i := range pools {
-		pools[i] = &Pool{}
+		pools[i] = &RetryPool{}
 	}
 	for i := range daemons {
 		daemons[i] = &pooledDaemon{budget: NewBudget(), restarts: l.restarts}
@@ -65,23 +65,23 @@
 		if len(poolRestarts) > 0 && at >= poolRestarts[0] {
 			poolRestarts = poolRestarts[1:]
 			for z := range pools {
-				pools[z] = &Pool{}
+				pools[z] = &RetryPool{}
 			}
 		}
 		d, pool := daemons[i%l.daemons], pools[i%l.daemons%l.zones]
 		if len(d.restarts) > 0 && at >= d.restarts[0] {
 			d.budget, d.restarts = NewBudget(), d.restarts[1:]
 		}
-		d.budget.Request(testRule, now)
+		d.budget.CountRequest(testRule, now)
 		counts.requests[at/halfSecond]++
 		if pooled && at-d.handedOverAt >= l.handOverInterval {
 			d.handedOverAt = at
-			pool.Put(map[string]float64{"s": d.budget.Spare(now)}, rule, now)
+			pool.Add(map[string]float64{"s": d.budget.TakeSpareRetries(now)}, rule, now)
 		}
 		if !l.failed(at, rng) {
 			continue
 		}
-		if d.budget.Repeat(testRule, now) || pooled && pool.Take("s", rule, now) {
+		if d.budget.TakeRetry(testRule, now) || pooled && pool.TakeRetry("s", rule, now) {
 			counts.retries[at/halfSecond]++
 		} else {
 			unserved++
@@ -175,11 +175,11 @@
 }
 
 func TestPoolStartsEmptyAndDecays(t *testing.T) {
-	p, rule := &Pool{}, PoolRule{}
-	must.False(t, p.Take("s", rule, t0))
-	p.Put(map[string]float64{"s": 3}, rule, t0)
-	must.False(t, p.Take("other", rule, t0))
-	must.True(t, p.Take("s", rule, t0))
-	must.False(t, p.Take("s", rule, t0.Add(2*poolDecay)))
+	p, rule := &RetryPool{}, RetryPoolRule{}
+	must.False(t, p.TakeRetry("s", rule, t0))
+	p.Add(map[string]float64{"s": 3}, rule, t0)
+	must.False(t, p.TakeRetry("other", rule, t0))
+	must.True(t, p.TakeRetry("s", rule, t0))
+	must.False(t, p.TakeRetry("s", rule, t0.Add(2*poolDecay)))
 	must.Less(t, 1.0, p.Levels(rule, t0.Add(2*poolDecay))["s"])
 }
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -8,10 +8,10 @@
 	"pearlanding/internal/routes"
 )
 
-// QuietFor returns the stall timeout of streams at a model's replica. A replica that reads long
+// StallTimeoutFor returns the stall timeout of streams at a model's replica. A replica that reads long
 // prompts is silent for a whole pass, and moving its streams makes other replicas read their
 // prompts again.
-func QuietFor(e *routes.Engine, m routes.Model) time.Duration {
+func StallTimeoutFor(e *routes.Engine, m routes.Model) time.Duration {
 	return max(e.LongestPass(m)+stallMargin, minStallTimeout)
 }
 
--- a/internal/dispatch/replay_test.go
+++ b/internal/dispatch/replay_test.go
@@ -42,13 +42,13 @@
 		for len(r.events) > 0 && !r.events[0].at.After(now) {
 			e := r.events[0]
 			r.events = r.events[1:]
-			p.Runs(&here, "m", e.sent, e.at)
-			p.Progressed(&here, e.at)
-			p.Ended(&here, e.sent, true)
+			p.NoteFirstEvent(&here, "m", e.sent, e.at)
+			p.NoteProgress(&here, e.at)
+			p.EndStream(&here, e.sent, true)
 		}
 		if admit(p, now) {
 			p.Pick([]Target{here}, nil, now)
-			p.Waits(&here, minStallTimeout, now)
+			p.NoteSent(&here, minStallTimeout, now)
 			took := r.send(now)
 			if now.Sub(start) > 4*time.Second {
 				sent++
@@ -85,23 +85,23 @@
 // moved; those queued at a replica that makes progress stay.
 func TestMoveOfSilentStreams(t *testing.T) {
 	p := NewPicker("z", keepFirst)
-	limit := p.Patience(StreamLimits{Model: "m", Objective: objective}).First
-	defaultLimit := p.Patience(StreamLimits{Model: "m"}).First
+	limit := p.StallTimeouts(StreamLimits{Model: "m", Objective: objective}).First
+	defaultLimit := p.StallTimeouts(StreamLimits{Model: "m"}).First
 	must.Eq(t, defaultFirstEvent, defaultLimit)
 	for name, c := range map[string]struct {
-		silence Silence
+		silence SilentStream
 		move    bool
 	}{
-		"queued, replica makes progress": {Silence{Waited: 10 * objective, Patience: limit, Replica: Alive}, false},
-		"replica stalled":                {Silence{Waited: minStallTimeout, Patience: limit, Replica: Still}, true},
-		"nothing known, early":           {Silence{Waited: objective, Patience: limit, Replica: Unknown}, false},
-		"nothing known, too long":        {Silence{Waited: 2 * objective, Patience: limit, Replica: Unknown}, true},
-		"no objective, early":            {Silence{Waited: defaultFirstEvent / 2, Patience: defaultLimit, Replica: Unknown}, false},
-		"no objective, too long":         {Silence{Waited: defaultFirstEvent, Patience: defaultLimit, Replica: Unknown}, true},
-		"begun, answer lost":             {Silence{Begun: true, Patience: limit, Replica: Alive}, true},
-		"begun, replica stalled":         {Silence{Begun: true, Patience: limit, Replica: Still}, true},
+		"queued, replica makes progress": {SilentStream{Waited: 10 * objective, StallTimeout: limit, Replica: Progressing}, false},
+		"replica stalled":                {SilentStream{Waited: minStallTimeout, StallTimeout: limit, Replica: Unhealthy}, true},
+		"nothing known, early":           {SilentStream{Waited: objective, StallTimeout: limit, Replica: Unknown}, false},
+		"nothing known, too long":        {SilentStream{Waited: 2 * objective, StallTimeout: limit, Replica: Unknown}, true},
+		"no objective, early":            {SilentStream{Waited: defaultFirstEvent / 2, StallTimeout: defaultLimit, Replica: Unknown}, false},
+		"no objective, too long":         {SilentStream{Waited: defaultFirstEvent, StallTimeout: defaultLimit, Replica: Unknown}, true},
+		"begun, answer lost":             {SilentStream{Begun: true, StallTimeout: limit, Replica: Progressing}, true},
+		"begun, replica stalled":         {SilentStream{Begun: true, StallTimeout: limit, Replica: Unhealthy}, true},
 	} {
-		t.Run(name, func(t *testing.T) { must.Eq(t, c.move, c.silence.Move()) })
+		t.Run(name, func(t *testing.T) { must.Eq(t, c.move, c.silence.ShouldMove()) })
 	}
 }
 
@@ -110,13 +110,13 @@
 // event takes 75 ms and a link 6 ms.
 func TestRetryAtAnotherDaemonMeetsObjective(t *testing.T) {
 	const links, first, deadline = 6 * time.Millisecond, 75 * time.Millisecond, 200 * time.Millisecond
-	must.Less(t, deadline, 4*links+ComeBack(Elsewhere)+first)
-	must.Less(t, ComeBack(Busy), ComeBack(Elsewhere), must.Sprint("full replicas need more time"))
+	must.Less(t, deadline, 4*links+RetryAfter(TryAnotherDaemon)+first)
+	must.Less(t, RetryAfter(UpstreamsBusy), RetryAfter(TryAnotherDaemon), must.Sprint("full replicas need more time"))
 }
 
 // No refused caller is asked to wait for longer than a queue takes to drain.
 func TestRetryAfterIsBounded(t *testing.T) {
-	times := []time.Duration{ComeBack(Elsewhere), ComeBack(Busy), ComeBack(Overload)}
+	times := []time.Duration{RetryAfter(TryAnotherDaemon), RetryAfter(UpstreamsBusy), RetryAfter(Overload)}
 	must.Positive(t, slices.Min(times))
 	must.Eq(t, retryAfterOverload, slices.Max(times))
 }
@@ -126,6 +126,6 @@
 // "no_configuration" twice and failed: 1,469 and 2,121 refusals in four seconds. The delay was
 // that of a single affected daemon.
 func TestRetryDelayWhileStartingCoversStart(t *testing.T) {
-	must.GreaterEq(t, time.Second, ComeBack(Starting))
-	must.Less(t, ComeBack(Overload), ComeBack(Elsewhere))
+	must.GreaterEq(t, time.Second, RetryAfter(DaemonStarting))
+	must.Less(t, RetryAfter(Overload), RetryAfter(TryAnotherDaemon))
 }
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -35,9 +35,9 @@
 			if len(restarts) > 0 && at >= restarts[0] {
 				budget, restarts = NewBudget(), restarts[1:]
 			}
-			budget.Request(testRule, start.Add(at))
+			budget.CountRequest(testRule, start.Add(at))
 			counts.requests[at/halfSecond]++
-			if at >= l.failFrom && i%2 == 0 && budget.Repeat(testRule, start.Add(at)) {
+			if at >= l.failFrom && i%2 == 0 && budget.TakeRetry(testRule, start.Add(at)) {
 				counts.retries[at/halfSecond]++
 			}
 		}
--- a/internal/dispatch/retryafter.go
+++ b/internal/dispatch/retryafter.go
@@ -9,15 +9,15 @@
 const (
 	// Elsewhere: this daemon can't remove the cause itself; another daemon, to which a retry goes,
 	// may serve the request at once.
-	Elsewhere RefusalReason = iota
+	TryAnotherDaemon RefusalReason = iota
 	// Busy: the upstreams that were tried are full or gone.
-	Busy
+	UpstreamsBusy
 	// Overload: all replicas have queues.
 	Overload
 	// Starting: this daemon has just started and has no configuration yet. Callers reach such a
 	// daemon while most daemons of its zone start or have just stopped, so another daemon is
 	// no better.
-	Starting
+	DaemonStarting
 )
 
 // Retry delays.
@@ -32,14 +32,14 @@
 	retryAfterStarting = time.Second
 )
 
-// ComeBack returns the retry delay for a refused request.
-func ComeBack(r RefusalReason) time.Duration {
+// RetryAfter returns the retry delay for a refused request.
+func RetryAfter(r RefusalReason) time.Duration {
 	switch r {
 	case Overload:
 		return retryAfterOverload
-	case Starting:
+	case DaemonStarting:
 		return retryAfterStarting
-	case Elsewhere:
+	case TryAnotherDaemon:
 		return retryAfterLocal
 	}
 	return retryAfterBusy
@@ -48,8 +48,8 @@
 // maxRetryAfter bounds retry delays that instances ask for.
 const maxRetryAfter = 10 * time.Second
 
-// ComeBackAfter returns the retry delay for a request that instances can accept after freeAfter.
-func ComeBackAfter(freeAfter time.Duration) time.Duration {
+// RetryAfterFree returns the retry delay for a request that instances can accept after freeAfter.
+func RetryAfterFree(freeAfter time.Duration) time.Duration {
 	return min(max(freeAfter, retryAfterBusy), maxRetryAfter)
 }
 
@@ -57,8 +57,8 @@
 // may wait for an instance. The remainder is for other requests that wait for the same instance.
 const maxWaitShare = 0.5
 
-// WorthWaiting reports whether a request should wait for an instance that accepts it after
+// ShouldWait reports whether a request should wait for an instance that accepts it after
 // freeAfter. remaining is what is left of its objective; the fastest answer takes floor.
-func WorthWaiting(freeAfter, remaining, floor time.Duration) bool {
+func ShouldWait(freeAfter, remaining, floor time.Duration) bool {
 	return freeAfter > 0 && freeAfter <= time.Duration(maxWaitShare*float64(remaining-floor))
 }
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -21,13 +21,13 @@
 func TestReplicaReadingLongPromptsIsNotStalled(t *testing.T) {
 	engine, start := readingEngine(), time.Unix(1000, 0)
 	p := NewPicker("a", func(int) int { return 0 })
-	busy := Target{Instance: "busy", Zone: "a", Quiet: QuietFor(engine, routes.Model{Pace: 1})}
+	busy := Target{Instance: "busy", Zone: "a", StallTimeout: StallTimeoutFor(engine, routes.Model{Pace: 1})}
 	for now := start; now.Sub(start) < 10*time.Second; now = now.Add(284 * time.Millisecond) {
 		p.Pick([]Target{busy}, nil, now)
-		p.Waits(&busy, busy.Quiet, now)
-		p.Runs(&busy, "large", now, now)
-		p.Progressed(&busy, now)
-		must.Eq(t, Alive, p.Health(&Target{Instance: "busy"}, now.Add(283*time.Millisecond)))
+		p.NoteSent(&busy, busy.StallTimeout, now)
+		p.NoteFirstEvent(&busy, "large", now, now)
+		p.NoteProgress(&busy, now)
+		must.Eq(t, Progressing, p.Health(&Target{Instance: "busy"}, now.Add(283*time.Millisecond)))
 	}
 }
 
@@ -36,16 +36,16 @@
 func TestDeadReplicaIsStalledAfterLongestPass(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPicker("a", func(int) int { return 0 })
-	dead := Target{Instance: "dead", Zone: "a", Quiet: QuietFor(readingEngine(), routes.Model{Pace: 1})}
+	dead := Target{Instance: "dead", Zone: "a", StallTimeout: StallTimeoutFor(readingEngine(), routes.Model{Pace: 1})}
 	p.Pick([]Target{dead}, nil, now)
-	p.Waits(&dead, dead.Quiet, now)
-	p.Runs(&dead, "large", now, now)
-	p.Progressed(&dead, now)
-	must.Eq(t, Still, p.Health(&Target{Instance: "dead"}, now.Add(400*time.Millisecond)))
+	p.NoteSent(&dead, dead.StallTimeout, now)
+	p.NoteFirstEvent(&dead, "large", now, now)
+	p.NoteProgress(&dead, now)
+	must.Eq(t, Unhealthy, p.Health(&Target{Instance: "dead"}, now.Add(400*time.Millisecond)))
 }
 
 // Without published costs, or with short passes, the minimum stall timeout applies.
 func TestStallTimeoutHasMinimum(t *testing.T) {
-	must.Eq(t, minStallTimeout, QuietFor(&routes.Engine{}, routes.Model{Pace: 1}))
-	must.Eq(t, minStallTimeout, QuietFor(readingEngine(), routes.Model{Pace: 0.4}))
+	must.Eq(t, minStallTimeout, StallTimeoutFor(&routes.Engine{}, routes.Model{Pace: 1}))
+	must.Eq(t, minStallTimeout, StallTimeoutFor(readingEngine(), routes.Model{Pace: 0.4}))
 }
--- a/internal/dispatch/stalltimeout.go
+++ b/internal/dispatch/stalltimeout.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Patience holds the stall timeouts of a stream, which is moved to another replica after them.
-type Patience struct {
+// StallTimeouts holds the stall timeouts of a stream, which is moved to another replica after them.
+type StallTimeouts struct {
 	First time.Duration // until its first event
 	Pause time.Duration // between two events
 }
@@ -11,33 +11,33 @@
 // StreamLimits are the limits on a stream's silence that follow from its route and from the
 // published costs of its engine.
 type StreamLimits struct {
-	Model     string
-	Objective time.Duration // for the first event; 0: none
-	Gap       time.Duration // for pauses; 0: none
-	Longest   time.Duration // longest pass of its replica by the published costs; 0: unknown
+	Model       string
+	Objective   time.Duration // for the first event; 0: none
+	MaxPause    time.Duration // for pauses; 0: none
+	LongestPass time.Duration // longest pass of its replica by the published costs; 0: unknown
 }
 
-// Patience returns the stall timeouts of a stream. The timeout of a pause ends when a successor can
+// StallTimeouts returns the stall timeouts of a stream. The timeout of a pause ends when a successor can
 // still meet the objective, but not before the pause is unusual: a stream moved later is late in
 // any case, and one moved while its replica only reads a prompt makes another replica read it
 // again. Until enough pauses were observed the objective itself applies: with the published costs
 // alone as the limit, streams of a large model would be late because they were moved.
-func (p *Picker) Patience(limits StreamLimits) Patience {
+func (p *Picker) StallTimeouts(limits StreamLimits) StallTimeouts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.statsOf(limits.Model)
-	timeouts := Patience{First: defaultFirstEvent, Pause: limits.Gap}
+	timeouts := StallTimeouts{First: defaultFirstEvent, Pause: limits.MaxPause}
 	if limits.Objective > 0 {
 		timeouts.First = time.Duration(firstEventFactor * float64(limits.Objective))
 	}
-	if limits.Gap <= 0 {
-		timeouts.Pause = max(limits.Longest, defaultGap)
+	if limits.MaxPause <= 0 {
+		timeouts.Pause = max(limits.LongestPass, defaultGap)
 	}
-	if longest, known := stats.longestPause(); known && limits.Gap > 0 {
-		timeouts.Pause = max(limits.Gap-stats.meanFirstEvent, time.Duration(unusualFactor*float64(longest)))
+	if longest, known := stats.longestPause(); known && limits.MaxPause > 0 {
+		timeouts.Pause = max(limits.MaxPause-stats.meanFirstEvent, time.Duration(unusualFactor*float64(longest)))
 	}
-	if limits.Longest > 0 {
-		timeouts.Pause = min(timeouts.Pause, max(limits.Longest, limits.Gap))
+	if limits.LongestPass > 0 {
+		timeouts.Pause = min(timeouts.Pause, max(limits.LongestPass, limits.MaxPause))
 	}
 	return timeouts
 }
@@ -95,8 +95,8 @@
 	return s
 }
 
-// Paused records a pause between two events of a running stream of a model.
-func (p *Picker) Paused(model string, pause time.Duration) {
+// NotePause records a pause between two events of a running stream of a model.
+func (p *Picker) NotePause(model string, pause time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.statsOf(model).addPause(pause)
--- a/internal/dispatch/stalltimeout_test.go
+++ b/internal/dispatch/stalltimeout_test.go
@@ -19,7 +19,7 @@
 // limitsOf returns the limits of a stream whose replica's longest pass takes 434 ms, with 300 ms
 // for a pause, all scaled.
 func limitsOf(scale float64) StreamLimits {
-	return StreamLimits{Model: "m", Objective: scaled(300*time.Millisecond, scale), Gap: scaled(300*time.Millisecond, scale), Longest: scaled(434*time.Millisecond, scale)}
+	return StreamLimits{Model: "m", Objective: scaled(300*time.Millisecond, scale), MaxPause: scaled(300*time.Millisecond, scale), LongestPass: scaled(434*time.Millisecond, scale)}
 }
 
 // drawPause draws a pause of a replica that reads a prompt in about each third pass. That takes
@@ -36,10 +36,10 @@
 func observeStreams(p *Picker, limits StreamLimits, scale float64, streams int, pause func() time.Duration) {
 	target, now := Target{Instance: "here"}, time.Unix(1000, 0)
 	for range streams {
-		p.Waits(&target, time.Hour, now)
-		p.Runs(&target, limits.Model, now, now.Add(scaled(70*time.Millisecond, scale)))
+		p.NoteSent(&target, time.Hour, now)
+		p.NoteFirstEvent(&target, limits.Model, now, now.Add(scaled(70*time.Millisecond, scale)))
 		for range 25 {
-			p.Paused(limits.Model, scaled(pause(), scale))
+			p.NotePause(limits.Model, scaled(pause(), scale))
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			rng, limits, p := rand.New(rand.NewPCG(1, 2)), limitsOf(scale), testPicker()
 			observeStreams(p, limits, scale, 50, func() time.Duration { return drawPause(rng, 14*time.Millisecond) })
-			must.LessEq(t, limits.Gap, p.Patience(limits).Pause+scaled(70*time.Millisecond, scale), must.Sprint("stall timeout plus a first event"))
+			must.LessEq(t, limits.MaxPause, p.StallTimeouts(limits).Pause+scaled(70*time.Millisecond, scale), must.Sprint("stall timeout plus a first event"))
 		})
 	}
 }
@@ -66,7 +66,7 @@
 			rng, limits, p := rand.New(rand.NewPCG(1, 2)), limitsOf(scale), testPicker()
 			draw := func() time.Duration { return drawPause(rng, 60*time.Millisecond) }
 			observeStreams(p, limits, scale, 20, draw)
-			timeout := p.Patience(limits).Pause
+			timeout := p.StallTimeouts(limits).Pause
 			early := 0
 			for range 100_000 {
 				if scaled(draw(), scale) > timeout {
@@ -84,20 +84,20 @@
 	for name, scale := range generations() {
 		t.Run(name, func(t *testing.T) {
 			limits, p := limitsOf(scale), testPicker()
-			must.Eq(t, limits.Gap, p.Patience(limits).Pause, must.Sprint("no pauses observed"))
+			must.Eq(t, limits.MaxPause, p.StallTimeouts(limits).Pause, must.Sprint("no pauses observed"))
 			for range minPauses {
-				p.Paused(limits.Model, scaled(50*time.Millisecond, scale))
+				p.NotePause(limits.Model, scaled(50*time.Millisecond, scale))
 			}
-			before := p.Patience(limits).Pause
+			before := p.StallTimeouts(limits).Pause
 			for range 100 {
-				p.Paused(limits.Model, scaled(280*time.Millisecond, scale))
+				p.NotePause(limits.Model, scaled(280*time.Millisecond, scale))
 			}
-			must.Greater(t, before, p.Patience(limits).Pause)
-			must.GreaterEq(t, scaled(280*time.Millisecond, scale), p.Patience(limits).Pause)
+			must.Greater(t, before, p.StallTimeouts(limits).Pause)
+			must.GreaterEq(t, scaled(280*time.Millisecond, scale), p.StallTimeouts(limits).Pause)
 			for range 100 {
-				p.Paused(limits.Model, time.Hour)
+				p.NotePause(limits.Model, time.Hour)
 			}
-			must.Eq(t, limits.Longest, p.Patience(limits).Pause, must.Sprint("the longest pass is the upper bound"))
+			must.Eq(t, limits.LongestPass, p.StallTimeouts(limits).Pause, must.Sprint("the longest pass is the upper bound"))
 		})
 	}
 }
@@ -105,6 +105,6 @@
 // Without published costs, the objective for pauses applies, or a second.
 func TestStallTimeoutsWithoutPublishedCosts(t *testing.T) {
 	p, objective := testPicker(), 300*time.Millisecond
-	must.Eq(t, Patience{First: 450 * time.Millisecond, Pause: time.Minute}, p.Patience(StreamLimits{Objective: objective, Gap: time.Minute}))
-	must.Eq(t, Patience{First: defaultFirstEvent, Pause: defaultGap}, p.Patience(StreamLimits{}))
+	must.Eq(t, StallTimeouts{First: 450 * time.Millisecond, Pause: time.Minute}, p.StallTimeouts(StreamLimits{Objective: objective, MaxPause: time.Minute}))
+	must.Eq(t, StallTimeouts{First: defaultFirstEvent, Pause: defaultGap}, p.StallTimeouts(StreamLimits{}))
 }
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -20,20 +20,20 @@
 
 // StreamProgress is the progress of a stream.
 type StreamProgress struct {
-	Waited    time.Duration // time that the caller has waited, including its own earlier attempts
-	Objective time.Duration // for the first event; 0: none
-	Gap       time.Duration // for pauses; 0: none
-	Begun     bool          // an event was sent to the caller
-	First     time.Duration // wait for the first event
-	Pause     time.Duration // longest pause so far
+	Waited       time.Duration // time that the caller has waited, including its own earlier attempts
+	Objective    time.Duration // for the first event; 0: none
+	MaxPause     time.Duration // for pauses; 0: none
+	Begun        bool          // an event was sent to the caller
+	FirstEvent   time.Duration // wait for the first event
+	LongestPause time.Duration // longest pause so far
 }
 
 // Urgency returns the urgency of a stream's next send. After an outage two seconds of callers
 // arrive at once, most of them already late. Served in order of arrival, they would make all later
 // callers late too.
 func (p StreamProgress) Urgency() Urgency {
-	missed := p.Objective > 0 && (p.Begun && p.First > p.Objective || !p.Begun && p.Waited > p.Objective) ||
-		p.Gap > 0 && p.Pause > p.Gap
+	missed := p.Objective > 0 && (p.Begun && p.FirstEvent > p.Objective || !p.Begun && p.Waited > p.Objective) ||
+		p.MaxPause > 0 && p.LongestPause > p.MaxPause
 	switch {
 	case missed:
 		return Late
@@ -50,16 +50,16 @@
 // least on its first attempt: time limits differ between callers.
 const firstAttemptShare = 0.8
 
-// CallerWaits tracks the time limits of the callers of each route on their first attempt: a caller
+// CallerTimeLimits tracks the time limits of the callers of each route on their first attempt: a caller
 // with much less time left has made an attempt before. Safe for concurrent use.
-type CallerWaits struct {
+type CallerTimeLimits struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration // by route
 }
 
 // Elapsed returns the least time that a caller has already waited if its time limit leaves
 // remaining; 0: it sent no time limit, has not waited, or nothing is known.
-func (w *CallerWaits) Elapsed(route string, remaining time.Duration) time.Duration {
+func (w *CallerTimeLimits) Elapsed(route string, remaining time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	longest, known := w.longest[route]
--- a/internal/dispatch/urgency_test.go
+++ b/internal/dispatch/urgency_test.go
@@ -12,7 +12,7 @@
 // replica is served before both.
 func TestLateCallersAreServedLast(t *testing.T) {
 	const firstObjective, gap = 200 * time.Millisecond, 250 * time.Millisecond
-	var w CallerWaits
+	var w CallerTimeLimits
 	must.Eq(t, 0, w.Elapsed("r", 5*time.Second))
 	must.Eq(t, 0, w.Elapsed("r", 4300*time.Millisecond), must.Sprint("time limits differ between callers"))
 	must.Eq(t, 500*time.Millisecond, w.Elapsed("r", 3500*time.Millisecond))
@@ -22,14 +22,14 @@
 		progress StreamProgress
 		want     Urgency
 	}{
-		"new":                      {StreamProgress{Objective: firstObjective, Gap: gap}, InTime},
-		"retried after the outage": {StreamProgress{Waited: 1500 * time.Millisecond, Objective: firstObjective, Gap: gap}, Late},
-		"moved before its first":   {StreamProgress{Waited: 150 * time.Millisecond, Objective: firstObjective, Gap: gap}, InTime},
-		"moved in mid-stream":      {StreamProgress{Waited: time.Second, Objective: firstObjective, Gap: gap, Begun: true, First: 100 * time.Millisecond}, Resumed},
-		"moved, first came late":   {StreamProgress{Waited: time.Second, Objective: firstObjective, Gap: gap, Begun: true, First: 300 * time.Millisecond}, Late},
-		"moved, paused too long":   {StreamProgress{Objective: firstObjective, Gap: gap, Begun: true, Pause: 300 * time.Millisecond}, Late},
+		"new":                      {StreamProgress{Objective: firstObjective, MaxPause: gap}, InTime},
+		"retried after the outage": {StreamProgress{Waited: 1500 * time.Millisecond, Objective: firstObjective, MaxPause: gap}, Late},
+		"moved before its first":   {StreamProgress{Waited: 150 * time.Millisecond, Objective: firstObjective, MaxPause: gap}, InTime},
+		"moved in mid-stream":      {StreamProgress{Waited: time.Second, Objective: firstObjective, MaxPause: gap, Begun: true, FirstEvent: 100 * time.Millisecond}, Resumed},
+		"moved, first came late":   {StreamProgress{Waited: time.Second, Objective: firstObjective, MaxPause: gap, Begun: true, FirstEvent: 300 * time.Millisecond}, Late},
+		"moved, paused too long":   {StreamProgress{Objective: firstObjective, MaxPause: gap, Begun: true, LongestPause: 300 * time.Millisecond}, Late},
 		"no objective":             {StreamProgress{Waited: time.Hour}, InTime},
-		"no objective, mid-stream": {StreamProgress{Waited: time.Hour, Begun: true, Pause: time.Minute}, Resumed},
+		"no objective, mid-stream": {StreamProgress{Waited: time.Hour, Begun: true, LongestPause: time.Minute}, Resumed},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, c.want, c.progress.Urgency()) })
 	}
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -97,7 +97,7 @@
 		return relay.Addresses(l), err
 	}}
 	return relay.NewNode(relay.Options{
-		Traffic: relay.Traffic{Spare: d.budgets.Spare, InFlight: d.picker.InFlight, Progress: d.progress, Stops: d.picker.Stops(), Loaded: d.takeLoads, Rule: d.poolRule},
+		Traffic: relay.Traffic{Spare: d.budgets.TakeSpareRetries, InFlight: d.picker.InFlight, Progress: d.progress, Stops: d.picker.Stalls(), Loaded: d.takeLoads, Rule: d.poolRule},
 		Store:   d.Outside.Feed, Kind: d.Outside.InstancesKind, Key: relayKind + "/" + s.Zone, Holder: holder, Address: s.Peers, LinkMbps: s.LinkMbps,
 		Peers: d.peers, Direct: d.planning, Confirm: d.config.confirm, Returned: d.config.storeRecovered,
 		Stale:     func() time.Duration { return d.drainShare(staleShare, defaultStaleAfter) },
@@ -110,7 +110,7 @@
 // stalledOrEndedHeads lists the heads that this daemon's streams show to be stalled or to have
 // ended: a process that ends breaks its streams off, and none of them stalls.
 func (d *Daemon) stalledOrEndedHeads(time.Time) []string {
-	out := append(d.picker.Stopped(d.runClock.Now()), d.watch.EndedLately()...)
+	out := append(d.picker.RecentlyStalled(d.runClock.Now()), d.watch.EndedLately()...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
@@ -118,13 +118,13 @@
 // progress returns the groups whose running streams stalled for this daemon recently, and those
 // whose streams deliver events. The picker runs on the run clock, so the time passed in is ignored.
 func (d *Daemon) progress(time.Time) (stalled, progressing []fleet.Key) {
-	return d.picker.Progress(d.runClock.Now())
+	return d.picker.GroupProgress(d.runClock.Now())
 }
 
 // takeLoads applies the loads that all other daemons reported.
-func (d *Daemon) takeLoads(others dispatch.Others, _ time.Time) {
+func (d *Daemon) takeLoads(others dispatch.PeerReports, _ time.Time) {
 	d.loadReporters.Store(int64(others.Daemons))
-	d.picker.Loaded(others, d.runClock.Now())
+	d.picker.SetPeerReports(others, d.runClock.Now())
 }
 
 // newExchange returns the loop that exchanges loads with the other daemons; while this daemon
@@ -144,9 +144,9 @@
 }
 
 // poolRule returns the rule by which this zone's pool of repeats is filled.
-func (d *Daemon) poolRule() dispatch.PoolRule {
+func (d *Daemon) poolRule() dispatch.RetryPoolRule {
 	s := d.Settings()
-	return dispatch.PoolRule{Extra: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow, Pools: s.Zones}
+	return dispatch.RetryPoolRule{Extra: s.Bounds.RetryExtra, Window: s.Bounds.RetryWindow, Pools: s.Zones}
 }
 
 // borrow asks the zone's pool for a repeat of a service and reports whether it got one.
@@ -161,7 +161,7 @@
 
 // stalledHeads lists the heads of groups that are stalled for this daemon or for others.
 func (d *Daemon) stalledHeads(now time.Time) []string {
-	out := d.picker.Still(d.runClock.Now())
+	out := d.picker.Unhealthy(d.runClock.Now())
 	if d.survey == nil {
 		return out
 	}
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -15,7 +15,7 @@
 
 // incarnationOf returns the incarnation of a target's instance.
 func incarnationOf(t *dispatch.Target) backpressure.Incarnation {
-	return backpressure.Incarnation{Instance: t.Instance, StartedAt: t.Born}
+	return backpressure.Incarnation{Instance: t.Instance, StartedAt: t.StartedAt}
 }
 
 // sendableTargets returns the targets of a list whose instances accept requests now according
@@ -91,7 +91,7 @@
 func (x *exchange) awaitBackoff(ctx context.Context) bool {
 	next := x.nextSend()
 	remaining := x.route.Objective - x.priorWait - x.gateway.Clock.Since(x.arrivedAt)
-	if !next.ThisDaemon || !dispatch.WorthWaiting(next.After, remaining, x.gateway.Picker.Floor(x.req.Model)) {
+	if !next.ThisDaemon || !dispatch.ShouldWait(next.After, remaining, x.gateway.Picker.FastestFirstEvent(x.req.Model)) {
 		return false
 	}
 	pause.For(ctx, next.After)
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -20,7 +20,7 @@
 	var x *exchange
 	// The picker calls its random number function while it chooses the target.
 	takeAsOtherRequest := func(int) int {
-		if x.budget().Repeat(rule, time.Now()) {
+		if x.budget().TakeRetry(rule, time.Now()) {
 			taken++
 		}
 		return 0
@@ -36,10 +36,10 @@
 	}
 	now := time.Now()
 	for range 2 { // each request accrues a credit of 0.9
-		x.budget().Request(rule, now)
+		x.budget().CountRequest(rule, now)
 	}
-	x.attempts.Try()
-	x.attempts.Reached()
+	x.attempts.CountSend()
+	x.attempts.CountReached()
 	if x.nextTarget(t.Context()) != nil {
 		taken++
 	}
@@ -60,20 +60,20 @@
 		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 2}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}
-	x.attempts.Try()
-	x.attempts.Reached()
+	x.attempts.CountSend()
+	x.attempts.CountReached()
 	must.False(t, x.reserveRetry(t.Context()), must.Sprint("no accrued credit"))
 	now := time.Now()
 	for range 2 { // each request accrues a credit of 0.9
-		x.budget().Request(rule, now)
+		x.budget().CountRequest(rule, now)
 	}
 	must.True(t, x.reserveRetry(t.Context()))
-	must.False(t, x.budget().Repeat(rule, now), must.Sprint("the retry is reserved"))
+	must.False(t, x.budget().TakeRetry(rule, now), must.Sprint("the retry is reserved"))
 	must.NotNil(t, x.nextTarget(t.Context()), must.Sprint("the reserved retry is used"))
 	for range 2 {
-		x.budget().Request(rule, now)
+		x.budget().CountRequest(rule, now)
 	}
 	must.True(t, x.reserveRetry(t.Context()))
 	x.releaseRetry()
-	must.True(t, x.budget().Repeat(rule, now), must.Sprint("the retry is returned to the budget"))
+	must.True(t, x.budget().TakeRetry(rule, now), must.Sprint("the retry is returned to the budget"))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -84,7 +84,7 @@
 	currentTargets   atomic.Pointer[targetIndex] // of the latest view
 	unreadHeaders    labelSet                    // names of response headers
 	invalidSignals   labelSet                    // texts of errors
-	callerWaits      dispatch.CallerWaits
+	callerWaits      dispatch.CallerTimeLimits
 	servedAtFirstTry atomic.Uint64 // requests, for sampling the log
 	requestSeen      atomic.Bool
 }
@@ -179,7 +179,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), x.gateway.Clock.Until(x.deadline))
 	defer cancel()
-	x.budget().Request(x.gateway.Bounds().Retry, x.arrivedAt)
+	x.budget().CountRequest(x.gateway.Bounds().Retry, x.arrivedAt)
 	x.priorWait = x.gateway.callerWaits.Elapsed(x.route.Name, x.req.Wait)
 	if x.route.Kind == routes.Stream {
 		x.serveStream(ctx)
@@ -193,14 +193,14 @@
 func (x *exchange) resolveRoute() bool {
 	table, bounds := x.config.Table, x.gateway.Bounds()
 	if table == nil {
-		return x.refuse(http.StatusServiceUnavailable, "no_configuration", dispatch.ComeBack(dispatch.Starting))
+		return x.refuse(http.StatusServiceUnavailable, "no_configuration", dispatch.RetryAfter(dispatch.DaemonStarting))
 	}
 	age := x.arrivedAt.Sub(x.config.Proved)
 	host, _, _ := strings.Cut(x.req.Host, ":")
 	x.route = table.Match(host, x.req.Path)
 	if x.route == nil {
 		if bounds.Config > 0 && age > bounds.Config {
-			return x.refuse(http.StatusServiceUnavailable, "no_route_in_old_configuration", dispatch.ComeBack(dispatch.Elsewhere))
+			return x.refuse(http.StatusServiceUnavailable, "no_route_in_old_configuration", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 		}
 		return x.refuse(http.StatusNotFound, "no_route", 0)
 	}
@@ -209,7 +209,7 @@
 	}
 	x.service = table.Service(x.route.Service(x.req.ID))
 	if x.service == nil {
-		return x.refuse(http.StatusServiceUnavailable, "no_service", dispatch.ComeBack(dispatch.Elsewhere))
+		return x.refuse(http.StatusServiceUnavailable, "no_service", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 	}
 	x.deadline = x.arrivedAt.Add(defaultTimeout)
 	if x.req.Wait > 0 {
@@ -238,12 +238,12 @@
 // since.
 func (x *exchange) authorize(age time.Duration, bounds Bounds) bool {
 	if bounds.Revoke > 0 && age >= bounds.Revoke {
-		return x.refuse(http.StatusServiceUnavailable, "configuration_not_proved_current", dispatch.ComeBack(dispatch.Elsewhere))
+		return x.refuse(http.StatusServiceUnavailable, "configuration_not_proved_current", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 	}
 	ws := x.config.Table.Workspace(x.req.Key)
 	if ws == nil {
 		if bounds.Config > 0 && age > bounds.Config {
-			return x.refuse(http.StatusServiceUnavailable, "unknown_key_in_old_configuration", dispatch.ComeBack(dispatch.Elsewhere))
+			return x.refuse(http.StatusServiceUnavailable, "unknown_key_in_old_configuration", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 		}
 		return x.refuse(http.StatusUnauthorized, "unknown_key", 0)
 	}
@@ -277,7 +277,7 @@
 // nextTarget chooses the target of the next send. It returns nil if the attempts, the time or
 // the retry budget are used up, or if no target is left.
 func (x *exchange) nextTarget(ctx context.Context) *dispatch.Target {
-	if x.attempts.Spent(x.route.Attempts) {
+	if x.attempts.Exhausted(x.route.Attempts) {
 		x.setReason("attempts_spent")
 		return nil
 	}
@@ -288,7 +288,7 @@
 		return nil
 	}
 	fromOwnBudget := false
-	if x.attempts.Repeated() {
+	if x.attempts.NextIsRetry() {
 		// Taken before the target is chosen: otherwise requests that fail at the same time
 		// would all see the same remaining retry.
 		reservation := x.useRetry(ctx)
@@ -303,7 +303,7 @@
 		t = x.pickTarget()
 	}
 	if t == nil && fromOwnBudget {
-		x.budget().Return(x.gateway.Bounds().Retry, now)
+		x.budget().RefundRetry(x.gateway.Bounds().Retry, now)
 	}
 	return t
 }
@@ -320,7 +320,7 @@
 		if x.hasPermit, ok = x.gateway.Gate.Take(incarnationOf(t), x.gateway.Clock.Now()); ok {
 			return t
 		}
-		x.gateway.Picker.Done(t) // another request took the last permit
+		x.gateway.Picker.Release(t) // another request took the last permit
 	}
 }
 
@@ -336,7 +336,7 @@
 // is none.
 func (x *exchange) takeRetry(ctx context.Context) *retryReservation {
 	switch {
-	case x.budget().Repeat(x.gateway.Bounds().Retry, x.gateway.Clock.Now()):
+	case x.budget().TakeRetry(x.gateway.Bounds().Retry, x.gateway.Clock.Now()):
 		return &retryReservation{fromOwnBudget: true}
 	case x.borrowRetry(ctx):
 		return &retryReservation{}
@@ -345,7 +345,7 @@
 }
 
 // budget returns the retry budget of the request's service.
-func (x *exchange) budget() *dispatch.Budget { return x.gateway.Budgets.Of(x.service.Name) }
+func (x *exchange) budget() *dispatch.Budget { return x.gateway.Budgets.For(x.service.Name) }
 
 // borrowRetry takes a retry from the budgets of other daemons.
 func (x *exchange) borrowRetry(ctx context.Context) bool {
@@ -354,7 +354,7 @@
 
 // retryAvailable reports whether a request to a service could be retried now.
 func (g *Gateway) retryAvailable(service string) bool {
-	return g.Budgets.Of(service).Left(g.Bounds().Retry, g.Clock.Now()) >= 1 || g.MayBorrow != nil && g.MayBorrow(service)
+	return g.Budgets.For(service).RetriesLeft(g.Bounds().Retry, g.Clock.Now()) >= 1 || g.MayBorrow != nil && g.MayBorrow(service)
 }
 
 // send sends the request to a target once. onQuarantine is called if the request's content is
@@ -365,7 +365,7 @@
 	}
 	x.triedInstances[t.Instance] = true
 	now := x.gateway.Clock.Now()
-	x.attempts.Try()
+	x.attempts.CountSend()
 	x.sends = append(x.sends, sendLog{target: t, startedAfter: now.Sub(x.arrivedAt)})
 	call := &upstream.Call{
 		Address: t.Address, Method: x.req.Method, Target: x.req.Target, Host: x.req.Host, Body: x.req.Body,
@@ -375,12 +375,12 @@
 		Withhold:      x.withholdFunc(t),
 		IsOwnResponse: func(status int, h http.Header) bool { return x.gateway.Codec.AnswersTo(x.req.ID, status, h) },
 	}
-	x.watchedSend = x.gateway.Watch.Begin(quarantine.Life{Instance: t.Instance, Born: t.Born}, t.Address, x.workspace, x.digest, onQuarantine)
+	x.watchedSend = x.gateway.Watch.Begin(quarantine.Life{Instance: t.Instance, Born: t.StartedAt}, t.Address, x.workspace, x.digest, onQuarantine)
 	resp, err := x.gateway.Pool.Do(ctx, call)
 	if err != nil && (errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrBusy)) {
 		return nil, err
 	}
-	x.attempts.Reached()
+	x.attempts.CountReached()
 	if err == nil {
 		x.gateway.observeSignals(t, resp, now)
 		x.gateway.countUnread(resp.Header)
@@ -398,8 +398,8 @@
 	if x.eventCount > 0 {
 		maxGap = max(maxGap, now.Sub(x.lastEventAt))
 	}
-	return dispatch.StreamProgress{Waited: x.priorWait + now.Sub(x.arrivedAt), Objective: x.route.Objective, Gap: x.route.Gap,
-		Begun: x.eventCount > 0, First: x.priorWait + x.firstByteAfter, Pause: maxGap}.Urgency()
+	return dispatch.StreamProgress{Waited: x.priorWait + now.Sub(x.arrivedAt), Objective: x.route.Objective, MaxPause: x.route.Gap,
+		Begun: x.eventCount > 0, FirstEvent: x.priorWait + x.firstByteAfter, LongestPause: maxGap}.Urgency()
 }
 
 // recordEnd records the outcome of the last send, for the log.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -68,7 +68,7 @@
 		metrics.WriteGaugeUint64(w, "pearlanding_target_in_flight"+labels, uint64(max(l.InFlight, 0)))
 		metrics.WriteGaugeFloat64(w, "pearlanding_target_expected_first_event_seconds"+labels, l.Expected.Seconds())
 	}
-	for service, remaining := range g.Budgets.Left(g.Bounds().Retry, g.Clock.Now()) {
+	for service, remaining := range g.Budgets.RetriesLeft(g.Bounds().Retry, g.Clock.Now()) {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf("pearlanding_repeat_budget_left{service=%q}", service), remaining)
 	}
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -42,11 +42,11 @@
 
 // sendPlain makes one send. It returns true if the caller has been answered.
 func (x *exchange) sendPlain(ctx context.Context, t *dispatch.Target) bool {
-	defer x.gateway.Picker.Done(t)
+	defer x.gateway.Picker.Release(t)
 	attempt, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if x.route.Repeatable() && x.route.Objective > 0 && !x.attempts.Last(x.route.Attempts) {
-		timeout, sentAt := dispatch.PlainPatience(x.route.Objective), x.gateway.runClockNow()
+	if x.route.Repeatable() && x.route.Objective > 0 && !x.attempts.IsLast(x.route.Attempts) {
+		timeout, sentAt := dispatch.PlainTimeout(x.route.Objective), x.gateway.runClockNow()
 		timer := &stallTimer{}
 		defer timer.Stop()
 		timer.start(timeout, func() time.Duration {
@@ -116,7 +116,7 @@
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
 		return false
 	}
-	x.gateway.Picker.Progressed(t, x.gateway.runClockNow())
+	x.gateway.Picker.NoteProgress(t, x.gateway.runClockNow())
 	if resp.StatusCode/100 == 2 && !codec.Signed(resp.Header) {
 		x.recordEnd("response without signature")
 		x.mayHaveRun = true
@@ -126,7 +126,7 @@
 		x.recordEnd("failed " + resp.Status)
 		x.mayHaveRun = true
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
-		if x.route.Repeatable() && !x.attempts.Spent(x.route.Attempts) {
+		if x.route.Repeatable() && !x.attempts.Exhausted(x.route.Attempts) {
 			if x.canRetry() {
 				return false
 			}
@@ -147,7 +147,7 @@
 // earlier instance may have run the request.
 func (x *exchange) uncountIfNotRun(resp *http.Response) {
 	if (x.headerSent || x.mayHaveRun) && x.gateway.Codec.NotRun(resp.StatusCode, resp.Header) {
-		x.attempts.NotRun()
+		x.attempts.UncountReached()
 	}
 }
 
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -35,13 +35,13 @@
 func (x *exchange) failUnanswered(reason string) {
 	switch {
 	case !x.mayHaveRun && x.gateway.View() == nil:
-		x.refuse(http.StatusServiceUnavailable, "instances_not_known", dispatch.ComeBack(dispatch.Starting))
+		x.refuse(http.StatusServiceUnavailable, "instances_not_known", dispatch.RetryAfter(dispatch.DaemonStarting))
 	case !x.mayHaveRun:
 		if next := x.nextSend(); next.After > 0 {
-			x.refuse(http.StatusServiceUnavailable, "upstream_backpressure", dispatch.ComeBackAfter(next.After))
+			x.refuse(http.StatusServiceUnavailable, "upstream_backpressure", dispatch.RetryAfterFree(next.After))
 			return
 		}
-		x.refuse(http.StatusServiceUnavailable, reason, dispatch.ComeBack(dispatch.Busy))
+		x.refuse(http.StatusServiceUnavailable, reason, dispatch.RetryAfter(dispatch.UpstreamsBusy))
 	case x.gateway.Clock.Now().Before(x.deadline):
 		x.refuse(http.StatusBadGateway, reason, 0)
 	default:
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -38,7 +38,7 @@
 		deadline: clock.Now().Add(time.Minute),
 	}
 	for range 2 { // each request accrues a credit of 0.9
-		r.budget().Request(rule, clock.Now())
+		r.budget().CountRequest(rule, clock.Now())
 	}
 	return r
 }
@@ -53,7 +53,7 @@
 		target := &r.targets()[0]
 		attempt, cancel := context.WithCancelCause(ctx)
 		defer cancel(nil)
-		timer := r.watchForStall(attempt, target, r.gateway.runClockNow(), dispatch.Patience{First: 300 * time.Millisecond, Pause: 200 * time.Millisecond}, cancel)
+		timer := r.watchForStall(attempt, target, r.gateway.runClockNow(), dispatch.StallTimeouts{First: 300 * time.Millisecond, Pause: 200 * time.Millisecond}, cancel)
 		defer timer.Stop()
 		time.Sleep(50 * time.Millisecond)
 		timer.lastActivity.Store(r.gateway.runClockNow())
@@ -79,13 +79,13 @@
 		r := newStallRig(ctx)
 		target, picker := &r.targets()[0], r.gateway.Picker
 		sent := r.gateway.runClockNow()
-		picker.Waits(target, 200*time.Millisecond, sent)
-		picker.Runs(target, "", sent, sent)
-		picker.Progressed(target, sent)
+		picker.NoteSent(target, 200*time.Millisecond, sent)
+		picker.NoteFirstEvent(target, "", sent, sent)
+		picker.NoteProgress(target, sent)
 		time.Sleep(50 * time.Millisecond)
 		r.unscheduled.Add(int64(time.Second))
-		must.Eq(t, dispatch.Alive, picker.Health(target, r.gateway.runClockNow()))
+		must.Eq(t, dispatch.Progressing, picker.Health(target, r.gateway.runClockNow()))
 		time.Sleep(250 * time.Millisecond)
-		must.Eq(t, dispatch.Still, picker.Health(target, r.gateway.runClockNow()))
+		must.Eq(t, dispatch.Unhealthy, picker.Health(target, r.gateway.runClockNow()))
 	})
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -35,7 +35,7 @@
 	}
 	x.admission = x.gateway.Picker.Admit(x.targets(), x.req.Model, x.route.Objective, x.gateway.runClockNow())
 	if !x.admission.Admitted {
-		x.refuse(http.StatusServiceUnavailable, "no_replica_in_time", dispatch.ComeBack(dispatch.Overload))
+		x.refuse(http.StatusServiceUnavailable, "no_replica_in_time", dispatch.RetryAfter(dispatch.Overload))
 		return
 	}
 	for {
@@ -65,9 +65,9 @@
 // answered otherwise.
 func (x *exchange) sendStream(ctx context.Context, t *dispatch.Target) bool {
 	eventsBefore, sentAt := x.eventCount, x.gateway.runClockNow()
-	timeouts := x.gateway.Picker.Patience(dispatch.StreamLimits{Model: x.req.Model, Objective: x.route.Objective, Gap: x.route.Gap, Longest: t.Quiet})
-	x.gateway.Picker.Waits(t, timeouts.Pause, sentAt)
-	defer func() { x.gateway.Picker.Ended(t, sentAt, x.eventCount > eventsBefore) }()
+	timeouts := x.gateway.Picker.StallTimeouts(dispatch.StreamLimits{Model: x.req.Model, Objective: x.route.Objective, MaxPause: x.route.Gap, LongestPass: t.StallTimeout})
+	x.gateway.Picker.NoteSent(t, timeouts.Pause, sentAt)
+	defer func() { x.gateway.Picker.EndStream(t, sentAt, x.eventCount > eventsBefore) }()
 	attempt, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	timer := x.watchForStall(attempt, t, sentAt, timeouts, cancel)
@@ -112,26 +112,26 @@
 
 // watchForStall starts a timer that cancels the send when its stream stalls, another replica
 // can continue it, and a retry could be reserved. Each event resets the timer.
-func (x *exchange) watchForStall(ctx context.Context, t *dispatch.Target, sentAt time.Time, timeouts dispatch.Patience, cancel context.CancelCauseFunc) *stallTimer {
+func (x *exchange) watchForStall(ctx context.Context, t *dispatch.Target, sentAt time.Time, timeouts dispatch.StallTimeouts, cancel context.CancelCauseFunc) *stallTimer {
 	timer := &stallTimer{}
 	timer.lastActivity.Store(sentAt)
-	if !x.route.Repeatable() || x.attempts.Last(x.route.Attempts) {
+	if !x.route.Repeatable() || x.attempts.IsLast(x.route.Attempts) {
 		// A stall never cancels this send, because the route allows no other send after it.
 		timer.timer = time.AfterFunc(time.Hour, func() {})
 		return timer
 	}
 	otherReplicaReady, picker := x.otherReplicaFunc(t), x.gateway.Picker
-	timer.start(timeouts.FirstLook(), func() (again time.Duration) {
+	timer.start(timeouts.FirstCheck(), func() (again time.Duration) {
 		now, events := x.gateway.runClockNow(), timer.events.Load()
 		limit := timeouts.Pause
 		if events == 0 {
-			limit = timeouts.FirstLook()
+			limit = timeouts.FirstCheck()
 		}
 		if sinceEvent := now.Sub(timer.lastActivity.Load()); sinceEvent < limit {
 			return limit - sinceEvent // the timer also ran while this process was not scheduled
 		}
-		silence := dispatch.Silence{Begun: events > 0, Waited: now.Sub(sentAt), Patience: timeouts.First, Replica: picker.Health(t, now)}
-		if !silence.Move() || !otherReplicaReady() || !x.reserveRetry(ctx) {
+		silence := dispatch.SilentStream{Begun: events > 0, Waited: now.Sub(sentAt), StallTimeout: timeouts.First, Replica: picker.Health(t, now)}
+		if !silence.ShouldMove() || !otherReplicaReady() || !x.reserveRetry(ctx) {
 			return stallCheckInterval
 		}
 		if timer.events.Load() != events {
@@ -154,7 +154,7 @@
 			return false
 		}
 		return slices.ContainsFunc(g.targets(g.View(), service, model), func(other dispatch.Target) bool {
-			return other.Instance != t.Instance && !tried[other.Instance] && g.Picker.Health(&other, g.runClockNow()) != dispatch.Still
+			return other.Instance != t.Instance && !tried[other.Instance] && g.Picker.Health(&other, g.runClockNow()) != dispatch.Unhealthy
 		})
 	}
 }
@@ -178,7 +178,7 @@
 // releaseRetry returns a reserved retry that was not needed.
 func (x *exchange) releaseRetry() {
 	if r := x.reservedRetry.Swap(nil); r != nil && r.fromOwnBudget {
-		x.budget().Return(x.gateway.Bounds().Retry, x.gateway.Clock.Now())
+		x.budget().RefundRetry(x.gateway.Bounds().Retry, x.gateway.Clock.Now())
 	}
 }
 
@@ -255,13 +255,13 @@
 			continue // already passed on
 		}
 		now, runNow := x.gateway.Clock.Now(), x.gateway.runClockNow()
-		x.gateway.Picker.Progressed(t, runNow)
+		x.gateway.Picker.NoteProgress(t, runNow)
 		x.watchedSend.Event(now)
 		c.timer.lastActivity.Store(runNow)
 		if c.timer.events.Add(1) == 1 {
-			x.gateway.Picker.Runs(t, x.req.Model, c.sentAt, runNow)
+			x.gateway.Picker.NoteFirstEvent(t, x.req.Model, c.sentAt, runNow)
 		} else {
-			x.gateway.Picker.Paused(x.req.Model, runNow.Sub(previousEventAt))
+			x.gateway.Picker.NotePause(x.req.Model, runNow.Sub(previousEventAt))
 		}
 		previousEventAt = runNow
 		c.timer.Reset(c.stallTimeout)
@@ -289,7 +289,7 @@
 func (x *exchange) streamSendFailed(attempt context.Context, t *dispatch.Target, err error) {
 	x.recordEnd(endCause(attempt, err))
 	if errors.Is(context.Cause(attempt), errStalled) {
-		x.gateway.Picker.NoteStopped(t, x.gateway.runClockNow())
+		x.gateway.Picker.NoteStall(t, x.gateway.runClockNow())
 	}
 	if !errors.Is(err, upstream.ErrWithheld) && (attempt.Err() == nil || errors.Is(context.Cause(attempt), errStalled)) {
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
--- a/internal/gateway/targets.go
+++ b/internal/gateway/targets.go
@@ -118,12 +118,12 @@
 	}
 	out := &targetList{}
 	m, _ := service.Engine.Model(model)
-	stallTimeout := dispatch.QuietFor(service.Engine, m)
+	stallTimeout := dispatch.StallTimeoutFor(service.Engine, m)
 	for _, g := range v.Groups {
 		if g.Service != service.Name || g.Model != model || !g.Serving() {
 			continue
 		}
-		out.targets = append(out.targets, dispatch.Target{Instance: g.Head.ID, Born: g.Head.Born, Address: g.Head.Address, Zone: g.Zone, Group: g.Key, Quiet: stallTimeout})
+		out.targets = append(out.targets, dispatch.Target{Instance: g.Head.ID, StartedAt: g.Head.Born, Address: g.Head.Address, Zone: g.Zone, Group: g.Key, StallTimeout: stallTimeout})
 		if graceEnd, lapsed := v.LeadsUntil(g.Head); lapsed {
 			if out.graceEnd == nil {
 				out.graceEnd = map[string]time.Time{}
@@ -139,7 +139,7 @@
 	var out []dispatch.Target
 	for _, in := range v.Services[service] {
 		if !in.Draining {
-			out = append(out, dispatch.Target{Instance: in.ID, Born: in.Born, Address: in.Address, Zone: in.Zone})
+			out = append(out, dispatch.Target{Instance: in.ID, StartedAt: in.Born, Address: in.Address, Zone: in.Zone})
 		}
 	}
 	return out
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -55,7 +55,7 @@
 	if len(r.StalledInstances) > 0 {
 		n.reports.note(r.From, r.StalledInstances, now)
 	}
-	n.share.pool.Put(r.Retries, rule, now)
+	n.share.pool.Add(r.Retries, rule, now)
 	_, daemons := n.share.loads.countDaemons(now)
 	sum, err := n.share.loads.total(now)
 	return ShareReply{Retries: n.share.pool.Levels(rule, now), StalledGroups: n.share.loads.allStalledGroups(now), Daemons: daemons,
@@ -111,7 +111,7 @@
 	defer wait.Wait()
 	wait.Go(func() { x.syncLimits(timed) })
 	if n.Serving() {
-		n.share.pool.Put(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
+		n.share.pool.Add(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
 		x.collectZoneLoads(timed)
 		return
 	}
@@ -136,7 +136,7 @@
 	n.share.setLevels(r.Retries, n.now())
 	n.opts.Gate.Merge(r.Limits, backpressure.ReceivedAt{Earliest: now, Latest: n.now()})
 	n.noteClusterWideSeq(relay, r.QuarantineSeq)
-	n.opts.Traffic.Loaded(dispatch.Others{Daemons: r.Daemons, InFlight: subtract(r.Loads, request.Loads), Standing: toSet(r.StalledGroups)}, n.now())
+	n.opts.Traffic.Loaded(dispatch.PeerReports{Daemons: r.Daemons, InFlight: subtract(r.Loads, request.Loads), StalledGroups: toSet(r.StalledGroups)}, n.now())
 }
 
 // refreshRelays lists the relays if the last listing is older than relayListInterval.
@@ -176,5 +176,5 @@
 	n.share.loads.setRemote(remote, stalled, daemons)
 	n.share.loads.note(n.shareRequest(now), now)
 	_, all := n.share.loads.countDaemons(now)
-	n.opts.Traffic.Loaded(dispatch.Others{Daemons: all, InFlight: n.share.loads.totalExcept(n.opts.Holder, now), Standing: toSet(n.share.loads.allStalledGroups(now))}, now)
+	n.opts.Traffic.Loaded(dispatch.PeerReports{Daemons: all, InFlight: n.share.loads.totalExcept(n.opts.Holder, now), StalledGroups: toSet(n.share.loads.allStalledGroups(now))}, now)
 }
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -22,14 +22,14 @@
 	// Stops is signalled when a running stream stops making progress.
 	Stops <-chan struct{}
 	// Loaded is called with what all other daemons reported.
-	Loaded func(others dispatch.Others, now time.Time)
+	Loaded func(others dispatch.PeerReports, now time.Time)
 	// Rule returns the rule of the zone's retry pool.
-	Rule func() dispatch.PoolRule
+	Rule func() dispatch.RetryPoolRule
 }
 
 // zoneShare is a daemon's part in what its zone shares. Safe for concurrent use.
 type zoneShare struct {
-	pool  dispatch.Pool // used while peers poll this daemon
+	pool  dispatch.RetryPool // used while peers poll this daemon
 	loads loads
 
 	mu         sync.Mutex
@@ -133,8 +133,8 @@
 func (n *Node) Repeat(ctx context.Context, service string) bool {
 	now := n.now()
 	if n.isActiveRelay() {
-		n.share.pool.Put(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
-		return n.share.pool.Take(service, n.opts.Traffic.Rule(), now)
+		n.share.pool.Add(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
+		return n.share.pool.TakeRetry(service, n.opts.Traffic.Rule(), now)
 	}
 	relay, _ := n.share.relayInUse(now)
 	if relay == "" {
@@ -161,5 +161,5 @@
 	if !n.isActiveRelay() {
 		return RetryReply{}, nil
 	}
-	return RetryReply{n.share.pool.Take(r.Service, n.opts.Traffic.Rule(), n.now())}, nil
+	return RetryReply{n.share.pool.TakeRetry(r.Service, n.opts.Traffic.Rule(), n.now())}, nil
 }
--- a/internal/relay/share_cost_test.go
+++ b/internal/relay/share_cost_test.go
@@ -15,7 +15,7 @@
 // replicas, and the last daemon's report.
 func newBusyRelay(daemons, replicas int, now time.Time) (*Node, ShareRequest) {
 	n := &Node{opts: Options{Now: func() time.Time { return now }, Stale: func() time.Duration { return time.Second }, Gate: (&zone{}).gate(),
-		Traffic: Traffic{Rule: func() dispatch.PoolRule { return dispatch.PoolRule{} }}}, history: newHistory(), reports: newReports()}
+		Traffic: Traffic{Rule: func() dispatch.RetryPoolRule { return dispatch.RetryPoolRule{} }}}, history: newHistory(), reports: newReports()}
 	n.isRelay.Store(true)
 	n.storeReached.Store(true)
 	var request ShareRequest
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -108,10 +108,10 @@
 			},
 			InFlight: func() map[string]int { return d.inFlight },
 			Progress: func(time.Time) (stalled, active []fleet.Key) { return d.stalledGroups, d.activeGroups },
-			Loaded: func(others dispatch.Others, _ time.Time) {
-				d.othersInFlight, d.stalledForAll, d.reportingDaemons = others.InFlight, others.Standing, others.Daemons
+			Loaded: func(others dispatch.PeerReports, _ time.Time) {
+				d.othersInFlight, d.stalledForAll, d.reportingDaemons = others.InFlight, others.StalledGroups, others.Daemons
 			},
-			Rule: func() dispatch.PoolRule { return dispatch.PoolRule{} },
+			Rule: func() dispatch.RetryPoolRule { return dispatch.RetryPoolRule{} },
 		},
 		Uniform: func(low, high time.Duration) time.Duration {
 			if z.longestDelays {
