--- a/internal/catalog/parse.go
+++ b/internal/catalog/parse.go
@@ -81,7 +81,7 @@
 		switch {
 		case section == "DEFAULT":
 			if keys := file.INI.Section("").KeyStrings(); len(keys) > 0 {
-				file.Add("", keys[0], "stands before any section")
+				file.Addf("", keys[0], "stands before any section")
 			}
 		case len(words) == 2 && words[0] == string(KindTemplate):
 			e.parseTemplate(file, section, words[1])
@@ -92,7 +92,7 @@
 		case len(words) == 4 && words[0] == string(KindWorkspace) && words[2] == "model":
 			modelSections = append(modelSections, section)
 		default:
-			file.Add(section, "", "unknown section; want [template NAME], [workspace NAME], [workspace NAME model ALIAS] or [service NAME]")
+			file.Addf(section, "", "unknown section; want [template NAME], [workspace NAME], [workspace NAME model ALIAS] or [service NAME]")
 		}
 	}
 	// Models are parsed last because each is stored in a workspace of the same file.
@@ -106,7 +106,7 @@
 // that the edit is based on.
 func (e *Edit) startEntry(file *findings.File, sec *findings.Section, ref Ref) {
 	if !namePattern.MatchString(ref.Name) {
-		sec.Fault("", "%q is not a name: lower-case letters, digits, dots, dashes, at most 63", ref.Name)
+		sec.Addf("", "%q is not a name: lower-case letters, digits, dots, dashes, at most 63", ref.Name)
 	}
 	e.files[ref] = file
 	if n := sec.Int("revision", 0, 0, 1<<53); n > 0 {
@@ -125,9 +125,9 @@
 		Priority: s.Int("priority", 5, 0, MaxPriority),
 	}
 	if len(t.Places) == 0 {
-		s.Fault("places", "is required: at least one place")
+		s.Addf("places", "is required: at least one place")
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 	e.Doc.Templates[name] = t
 }
 
@@ -142,12 +142,12 @@
 		Services:      s.Strings("services"), Models: map[string]ModelUse{},
 	}
 	if raw, err := hex.DecodeString(w.TokenSHA256); w.TokenSHA256 != "" && (err != nil || len(raw) != 32) {
-		s.Fault("token_sha256", "is not the hex SHA-256 digest of a token")
+		s.Addf("token_sha256", "is not the hex SHA-256 digest of a token")
 	}
 	if len(w.Places) == 0 {
-		s.Fault("places", "is required: at least one place")
+		s.Addf("places", "is required: at least one place")
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 	e.Doc.Workspaces[name] = w
 }
 
@@ -155,17 +155,17 @@
 	s := file.Section(section)
 	w, ok := e.Doc.Workspaces[workspace]
 	if !ok {
-		s.Fault("", "workspace %q is not in this file", workspace)
+		s.Addf("", "workspace %q is not in this file", workspace)
 		return
 	}
 	if !namePattern.MatchString(alias) {
-		s.Fault("", "%q is not a model name", alias)
+		s.Addf("", "%q is not a model name", alias)
 	}
 	w.Models[alias] = ModelUse{
 		Template: s.Required("template"), Adapter: s.String("adapter", ""),
 		Version: s.String("version", ""), Replicas: s.Int("replicas", 0, 0, MaxReplicas),
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 }
 
 func (e *Edit) parseService(file *findings.File, section, name string) {
@@ -175,21 +175,21 @@
 	for _, item := range s.Strings("instances") {
 		place, address, ok := strings.Cut(item, "@")
 		if _, err := netip.ParseAddrPort(address); !ok || err != nil {
-			s.Fault("instances", "%q is not PLACE@IP:PORT", item)
+			s.Addf("instances", "%q is not PLACE@IP:PORT", item)
 			continue
 		}
 		svc.Instances = append(svc.Instances, Instance{Place: place, Address: address})
 	}
 	if len(svc.Instances) == 0 {
-		s.Fault("instances", "is required: at least one PLACE@IP:PORT")
+		s.Addf("instances", "is required: at least one PLACE@IP:PORT")
 	}
 	for _, m := range s.Strings("at_most_once") {
 		if !slices.Contains([]string{"GET", "POST", "PUT", "PATCH", "DELETE"}, m) {
-			s.Fault("at_most_once", "%q is not an HTTP method", m)
+			s.Addf("at_most_once", "%q is not an HTTP method", m)
 		}
 		svc.AtMostOnceMethods = append(svc.AtMostOnceMethods, m)
 	}
-	s.Done()
+	s.ReportUnknownKeys()
 	e.Doc.Services[name] = svc
 }
 
@@ -230,7 +230,7 @@
 // report adds a finding on an entry, with its file and line if the edit contains it.
 func (e *Edit) report(list *findings.List, ref Ref, section, key, message string) {
 	if file := e.files[ref]; file != nil {
-		file.Add(section, key, "%s", message)
+		file.Addf(section, key, "%s", message)
 		return
 	}
 	list.Add(findings.Finding{File: "current configuration", Section: section, Key: key, Message: message})
--- a/internal/findings/ini.go
+++ b/internal/findings/ini.go
@@ -78,8 +78,8 @@
 	})
 }
 
-// Add adds a finding at a key of a section, or at the section header if the key is missing.
-func (f *File) Add(section, key, format string, args ...any) {
+// Addf adds a finding at a key of a section, or at the section header if the key is missing.
+func (f *File) Addf(section, key, format string, args ...any) {
 	line := f.lines[location{section, key}]
 	if line == 0 {
 		line = f.lines[location{section, ""}]
@@ -117,8 +117,8 @@
 	return strings.TrimSpace(s.ini.Key(key).String()), true
 }
 
-// Fault adds a finding at a key of this section.
-func (s *Section) Fault(key, format string, args ...any) { s.file.Add(s.name, key, format, args...) }
+// Addf adds a finding at a key of this section.
+func (s *Section) Addf(key, format string, args ...any) { s.file.Addf(s.name, key, format, args...) }
 
 // String reads a text key; it returns def if the key is missing.
 func (s *Section) String(key, def string) string {
@@ -132,7 +132,7 @@
 func (s *Section) Required(key string) string {
 	value, ok := s.lookup(key)
 	if !ok || value == "" {
-		s.Fault(key, "is required")
+		s.Addf(key, "is required")
 	}
 	return value
 }
@@ -158,7 +158,7 @@
 	}
 	n, err := s.ini.Key(key).Int()
 	if err != nil || n < low || n > high {
-		s.Fault(key, "%q is not a whole number from %d to %d", value, low, high)
+		s.Addf(key, "%q is not a whole number from %d to %d", value, low, high)
 		return def
 	}
 	return n
@@ -172,7 +172,7 @@
 	}
 	n, err := s.ini.Key(key).Float64()
 	if err != nil || n < low || n > high {
-		s.Fault(key, "%q is not a number from %g to %g", value, low, high)
+		s.Addf(key, "%q is not a number from %g to %g", value, low, high)
 		return def
 	}
 	return n
@@ -187,7 +187,7 @@
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil || d < low || d > high {
-		s.Fault(key, "%q is not a duration from %s to %s", value, low, high)
+		s.Addf(key, "%q is not a duration from %s to %s", value, low, high)
 		return def
 	}
 	return d
@@ -201,7 +201,7 @@
 	}
 	b, err := s.ini.Key(key).Bool()
 	if err != nil {
-		s.Fault(key, "%q is neither true nor false", value)
+		s.Addf(key, "%q is neither true nor false", value)
 		return def
 	}
 	return b
@@ -219,18 +219,18 @@
 			return value
 		}
 	}
-	s.Fault(key, "%q is none of %s", value, strings.Join(choices, ", "))
+	s.Addf(key, "%q is none of %s", value, strings.Join(choices, ", "))
 	return def
 }
 
-// Done adds a finding for each key of the section that was not read.
-func (s *Section) Done() {
+// ReportUnknownKeys adds a finding for each key of the section that was not read.
+func (s *Section) ReportUnknownKeys() {
 	if s.ini == nil {
 		return
 	}
 	for _, key := range s.ini.KeyStrings() {
 		if !s.knownKeys[key] {
-			s.Fault(key, "unknown key")
+			s.Addf(key, "unknown key")
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,7 +142,7 @@
 	}
 	for _, name := range file.INI.SectionStrings() {
 		if !known[name] {
-			file.Add(name, "", "unknown section")
+			file.Addf(name, "", "unknown section")
 		}
 	}
 	checkCombinations(file, s)
@@ -150,12 +150,12 @@
 }
 
 func daemonSection(s *findings.Section) Daemon {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Daemon{Name: s.Required("name"), Place: s.Required("place"), Domain: s.Required("domain")}
 }
 
 func listenSection(s *findings.Section) Listen {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Listen{Callers: address(s, "callers"), Operators: address(s, "operators"), Peers: address(s, "peers")}
 }
 
@@ -163,18 +163,18 @@
 func address(s *findings.Section, key string) string {
 	v := s.Required(key)
 	if _, err := netip.ParseAddrPort(v); v != "" && err != nil {
-		s.Fault(key, "%q is not IP:PORT", v)
+		s.Addf(key, "%q is not IP:PORT", v)
 	}
 	return v
 }
 
 func platformSection(s *findings.Section) Platform {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Platform{URL: s.Required("url"), Timeout: s.Duration("timeout", time.Second, 10*time.Millisecond, time.Minute)}
 }
 
 func limitsSection(s *findings.Section) Limits {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Limits{
 		MaxBodyBytes:   s.Int("max_body_bytes", 4<<20, 1024, 64<<20),
 		MaxHeaderBytes: s.Int("max_header_bytes", 16<<10, 1024, 1<<20),
@@ -187,7 +187,7 @@
 }
 
 func timingSection(s *findings.Section) Timing {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	const low, high = 20 * time.Millisecond, time.Hour
 	return Timing{
 		SyncInterval:   s.Duration("sync_interval", 250*time.Millisecond, low, high),
@@ -203,7 +203,7 @@
 }
 
 func plannerSection(s *findings.Section) Planner {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Planner{
 		Policy:          s.OneOf("policy", "repair", "repair", "rebuild"),
 		DowntimeWeight:  s.Float("group_downtime_weight", 1, 0, 1000),
@@ -213,7 +213,7 @@
 }
 
 func routingSection(s *findings.Section) Routing {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Routing{
 		Policy: s.OneOf("policy", "affinity", "affinity", "random", "round-robin", "least"),
 		Subset: s.Int("subset", 4, 1, 64),
@@ -221,7 +221,7 @@
 }
 
 func ledgerSection(s *findings.Section) Ledger {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Ledger{
 		Shards:       s.Int("shards", 8, 1, 256),
 		MaxEntries:   s.Int("max_entries", 4000, 10, 100_000),
@@ -231,34 +231,34 @@
 }
 
 func operatorsSection(s *findings.Section) Operators {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Operators{ChangeTokenSHA256: digest(s, "change_token_sha256"), ReadTokenSHA256: digest(s, "read_token_sha256")}
 }
 
 func digest(s *findings.Section, key string) string {
 	v := s.String(key, "")
 	if raw, err := hex.DecodeString(v); err != nil || (v != "" && len(raw) != 32) {
-		s.Fault(key, "is not a hex SHA-256 digest")
+		s.Addf(key, "is not a hex SHA-256 digest")
 	}
 	return v
 }
 
 func logSection(s *findings.Section) Log {
-	defer s.Done()
+	defer s.ReportUnknownKeys()
 	return Log{Level: s.OneOf("level", "info", "debug", "info", "warn", "error")}
 }
 
 // checkCombinations reports values that are each in range but don't fit together.
 func checkCombinations(file *findings.File, s Settings) {
 	if s.Timing.EvidenceAge < 3*s.Timing.ProbeInterval {
-		file.Add("timing", "evidence_age", "must be at least three probe intervals (%s)", 3*s.Timing.ProbeInterval)
+		file.Addf("timing", "evidence_age", "must be at least three probe intervals (%s)", 3*s.Timing.ProbeInterval)
 	}
 	if s.Timing.AdmissionLease < 3*s.Timing.SyncInterval {
-		file.Add("timing", "admission_lease", "must be at least three sync intervals (%s)", 3*s.Timing.SyncInterval)
+		file.Addf("timing", "admission_lease", "must be at least three sync intervals (%s)", 3*s.Timing.SyncInterval)
 	}
 	if s.Operators.ChangeTokenSHA256 == "" && s.Listen.Operators != "" {
 		if ap, err := netip.ParseAddrPort(s.Listen.Operators); err == nil && !ap.Addr().IsLoopback() {
-			file.Add("operators", "change_token_sha256", "is required unless operators listen on loopback")
+			file.Addf("operators", "change_token_sha256", "is required unless operators listen on loopback")
 		}
 	}
 }
