--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -22,9 +22,9 @@
 
 // PeerReports holds the reports of the other daemons, summed up.
 type PeerReports struct {
-	Daemons       int                // daemons that reported, including this one
-	InFlight      map[string]int     // requests in flight of the other daemons, by instance
-	StalledGroups map[fleet.Key]bool // groups that several daemons see stalled and no daemon sees progressing
+	Daemons       int                     // daemons that reported, including this one
+	InFlight      map[string]int          // requests in flight of the other daemons, by instance
+	StalledGroups map[fleet.GroupKey]bool // groups that several daemons see stalled and no daemon sees progressing
 }
 
 // SetPeerReports stores what the other daemons reported, as of now. The caller must not change others
@@ -47,12 +47,12 @@
 
 // GroupProgress returns the groups whose running streams stalled recently at this daemon, and those
 // whose running streams make progress.
-func (p *Picker) GroupProgress(now time.Time) (stalled, progressing []fleet.Key) {
+func (p *Picker) GroupProgress(now time.Time) (stalled, progressing []fleet.GroupKey) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.records {
 		switch {
-		case r.group == fleet.Key{}:
+		case r.group == fleet.GroupKey{}:
 		case r.stalledRecently(now):
 			stalled = append(stalled, r.group)
 		case r.progressing(now):
--- a/internal/dispatch/candidates_test.go
+++ b/internal/dispatch/candidates_test.go
@@ -130,10 +130,10 @@
 // Up to sixteen daemons ignore reported loads, but use reported stalls.
 func TestFewDaemonsUseReportedStalls(t *testing.T) {
 	p := NewPicker("z", func(n int) int { return n - 1 })
-	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
+	group := Target{Instance: "here", Zone: "z", Group: fleet.GroupKey{Name: "g", Epoch: 3}}
 	p.SetPeerReports(PeerReports{Daemons: 7, InFlight: map[string]int{"here": 30}}, t0)
 	must.Eq(t, "here", pickOne(p, t0, group, there))
-	p.SetPeerReports(PeerReports{Daemons: 7, StalledGroups: map[fleet.Key]bool{group.Group: true}}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 7, StalledGroups: map[fleet.GroupKey]bool{group.Group: true}}, t0)
 	must.Eq(t, Unhealthy, p.Health(&group, t0))
 }
 
@@ -169,10 +169,10 @@
 // streams of one day was moved from such a group only after 1.5 objectives, 0.46 to 1.54 s.
 func TestGroupReportedAsStalledIsAvoided(t *testing.T) {
 	p := NewPicker("z", func(int) int { return 0 })
-	group := Target{Instance: "here", Zone: "z", Group: fleet.Key{Name: "g", Epoch: 3}}
+	group := Target{Instance: "here", Zone: "z", Group: fleet.GroupKey{Name: "g", Epoch: 3}}
 	nextEpoch := group
 	nextEpoch.Group.Epoch = 4
-	p.SetPeerReports(PeerReports{Daemons: 100, StalledGroups: map[fleet.Key]bool{group.Group: true}}, t0)
+	p.SetPeerReports(PeerReports{Daemons: 100, StalledGroups: map[fleet.GroupKey]bool{group.Group: true}}, t0)
 	must.Eq(t, Unhealthy, p.Health(&group, t0))
 	must.Eq(t, "there", pickOne(p, t0, group, there))
 	must.Eq(t, Unknown, p.Health(&nextEpoch, t0), must.Sprint("its head leads a new epoch of the group"))
@@ -189,7 +189,7 @@
 func TestProgressIsReportedByGroup(t *testing.T) {
 	p := testPicker()
 	a, b := here, there
-	a.Group, b.Group = fleet.Key{Name: "a", Epoch: 1}, fleet.Key{Name: "b", Epoch: 1}
+	a.Group, b.Group = fleet.GroupKey{Name: "a", Epoch: 1}, fleet.GroupKey{Name: "b", Epoch: 1}
 	for _, target := range []*Target{&a, &b} {
 		p.Pick([]Target{*target}, nil, t0)
 		p.NoteSent(target, minStallTimeout, t0)
@@ -199,6 +199,6 @@
 	later := t0.Add(time.Second)
 	p.NoteProgress(&b, later)
 	stalled, progressing := p.GroupProgress(later)
-	must.Eq(t, []fleet.Key{a.Group}, stalled)
-	must.Eq(t, []fleet.Key{b.Group}, progressing)
+	must.Eq(t, []fleet.GroupKey{a.Group}, stalled)
+	must.Eq(t, []fleet.GroupKey{b.Group}, progressing)
 }
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -15,8 +15,8 @@
 	StartedAt    int64  // start time of its incarnation; 0: unknown
 	Address      string
 	Zone         string
-	Group        fleet.Key     // zero for an instance of a plain service
-	StallTimeout time.Duration // stall timeout of its running streams; 0: unknown
+	Group        fleet.GroupKey // zero for an instance of a plain service
+	StallTimeout time.Duration  // stall timeout of its running streams; 0: unknown
 }
 
 // incarnation is one run of an instance under its id. Observations of one incarnation
--- a/internal/dispatch/picker_bench_test.go
+++ b/internal/dispatch/picker_bench_test.go
@@ -20,7 +20,7 @@
 			targets := make([]Target, replicas)
 			for i := range targets {
 				id := fmt.Sprintf("i-%05d", i)
-				targets[i] = Target{Instance: id, StartedAt: 1, Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Group: fleet.Key{Name: "g" + id, Epoch: 1}}
+				targets[i] = Target{Instance: id, StartedAt: 1, Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Group: fleet.GroupKey{Name: "g" + id, Epoch: 1}}
 				others.InFlight[id] = i % 7
 			}
 			for i := range min(replicas, 100) {
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -25,9 +25,9 @@
 	lastFirstEventAt time.Time
 	progressAt       time.Time // last progress of any request
 	suspectUntil     time.Time
-	suspicion        time.Duration // duration of the last suspicion, doubled by the next one; 0: none, or progress since
-	stalledAt        time.Time     // when a running stream was last moved because of a stall
-	group            fleet.Key     // group that the target led at the last send
+	suspicion        time.Duration  // duration of the last suspicion, doubled by the next one; 0: none, or progress since
+	stalledAt        time.Time      // when a running stream was last moved because of a stall
+	group            fleet.GroupKey // group that the target led at the last send
 	usedAt           time.Time
 }
 
--- a/internal/fleet/build.go
+++ b/internal/fleet/build.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Build returns the view of instances and removed instances that was proved at a time: it
+// BuildView returns the view of instances and removed instances that was proved at a time: it
 // derives their services and groups.
-func Build(revision uint64, provedAt time.Time, instances map[string]*Instance, removed map[string]Gone, size SizeOf) *View {
+func BuildView(revision uint64, provedAt time.Time, instances map[string]*Instance, removed map[string]RemovedInstance, size SizeOf) *View {
 	return (&View{}).next(revision, provedAt, instances, removed, size)
 }
 
 // next returns the view after v. It shares all unchanged lists and groups with v, so that its
 // cost depends on the number of changes: among thousands of instances some change several times
 // a second. The sizes of models must be those of v.
-func (v *View) next(revision uint64, provedAt time.Time, instances map[string]*Instance, removed map[string]Gone, size SizeOf) *View {
-	out := &View{Revision: revision, Seen: provedAt, Instances: instances, Removed: removed,
+func (v *View) next(revision uint64, provedAt time.Time, instances map[string]*Instance, removed map[string]RemovedInstance, size SizeOf) *View {
+	out := &View{Revision: revision, ProvedAt: provedAt, Instances: instances, Removed: removed,
 		Services: maps.Clone(v.Services), Groups: maps.Clone(v.Groups)}
 	if v.Services == nil {
-		out.Services, out.Groups = map[string][]*Instance{}, map[Key]*Group{}
+		out.Services, out.Groups = map[string][]*Instance{}, map[GroupKey]*Group{}
 	}
 	c := v.diff(instances, removed)
 	for service := range c.services {
@@ -47,18 +47,18 @@
 
 // viewDiff is the difference between two views.
 type viewDiff struct {
-	instances map[string]*Instance   // of the later view
-	services  map[string]bool        // services whose lists differ
-	groups    map[Key]bool           // groups that differ
-	arrived   map[string][]*Instance // new or changed instances by service
-	joined    map[Key][]*Instance    // new or changed instances by group
-	lapsed    map[Key][]Gone         // lapsed members of groups that differ
+	instances map[string]*Instance           // of the later view
+	services  map[string]bool                // services whose lists differ
+	groups    map[GroupKey]bool              // groups that differ
+	arrived   map[string][]*Instance         // new or changed instances by service
+	joined    map[GroupKey][]*Instance       // new or changed instances by group
+	lapsed    map[GroupKey][]RemovedInstance // lapsed members of groups that differ
 }
 
 // diff returns the difference between v and a view of other instances.
-func (v *View) diff(instances map[string]*Instance, removed map[string]Gone) *viewDiff {
-	c := &viewDiff{instances: instances, services: map[string]bool{}, groups: map[Key]bool{},
-		arrived: map[string][]*Instance{}, joined: map[Key][]*Instance{}, lapsed: map[Key][]Gone{}}
+func (v *View) diff(instances map[string]*Instance, removed map[string]RemovedInstance) *viewDiff {
+	c := &viewDiff{instances: instances, services: map[string]bool{}, groups: map[GroupKey]bool{},
+		arrived: map[string][]*Instance{}, joined: map[GroupKey][]*Instance{}, lapsed: map[GroupKey][]RemovedInstance{}}
 	for id, in := range v.Instances {
 		if instances[id] != in {
 			c.markChanged(in)
@@ -122,7 +122,7 @@
 
 // buildGroup returns a group that changed, or nil if no instance's entry names it; before is the
 // group in the earlier view.
-func (c *viewDiff) buildGroup(key Key, before *Group, size SizeOf) *Group {
+func (c *viewDiff) buildGroup(key GroupKey, before *Group, size SizeOf) *Group {
 	var members []*Instance
 	if before != nil {
 		members = c.unchanged(before.Members)
@@ -147,7 +147,7 @@
 	}
 	for _, gone := range c.lapsed[key] {
 		g.Lapsed = append(g.Lapsed, gone.Instance)
-		if gone.Leads && g.Head == nil {
+		if gone.InHeadGrace && g.Head == nil {
 			g.Head, g.Zone = gone.Instance, gone.Instance.Zone
 		}
 	}
--- a/internal/fleet/build_test.go
+++ b/internal/fleet/build_test.go
@@ -15,8 +15,8 @@
 // A view derived from the view before it equals a view built from scratch, whatever changed.
 func TestIncrementalViewEqualsFullBuild(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		b := NewBelief(heartbeat, func(_, model string) int { return map[string]int{"large": 3, "small": 2}[model] })
-		b.LeadsFor = time.Second
+		b := NewKnownState(heartbeat, func(_, model string) int { return map[string]int{"large": 3, "small": 2}[model] })
+		b.LapsedHeadGrace = time.Second
 		now, version := start, uint64(0)
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			for range rapid.IntRange(0, 5).Draw(r, "changes") {
@@ -37,7 +37,7 @@
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(r, "ms")) * time.Millisecond)
 			b.Expire(now)
-			rebuilt := Build(b.revision, now, maps.Clone(b.instances), maps.Clone(b.removed), b.size)
+			rebuilt := BuildView(b.revision, now, maps.Clone(b.instances), maps.Clone(b.removed), b.size)
 			must.Eq(r, rebuilt, b.View(now))
 		}
 	})
@@ -45,7 +45,7 @@
 
 func drawInstance(r *rapid.T, id string, version uint64) *Instance {
 	in := &Instance{ID: id, Version: version, Service: rapid.SampledFrom([]string{"engines", "plain"}).Draw(r, "service"),
-		Draining: rapid.IntRange(0, 5).Draw(r, "draining") == 0, Born: int64(rapid.IntRange(1, 2).Draw(r, "born"))}
+		Draining: rapid.IntRange(0, 5).Draw(r, "draining") == 0, StartedAt: int64(rapid.IntRange(1, 2).Draw(r, "born"))}
 	if in.Service == "engines" && rapid.Bool().Draw(r, "member") {
 		in.Models = []string{rapid.SampledFrom([]string{"large", "small"}).Draw(r, "model")}
 		in.Group = Membership{Name: rapid.SampledFrom([]string{"g", "h"}).Draw(r, "group"), Epoch: uint64(rapid.IntRange(1, 2).Draw(r, "epoch")),
@@ -85,7 +85,7 @@
 		all[id] = &Instance{ID: id, Service: "engines", Models: []string{"m"},
 			Group: Membership{Name: fmt.Sprint("g", i/benchReplicaSize), Epoch: 1, Rank: i % benchReplicaSize, State: state}}
 	}
-	return Build(1, start, all, nil, benchSizes)
+	return BuildView(1, start, all, nil, benchSizes)
 }
 
 // BenchmarkNext measures the cost of one view after changes, by the numbers of instances and of
@@ -110,16 +110,16 @@
 }
 
 // putPair puts the two members of a group and returns its key.
-func putPair(b *Belief) Key {
+func putPair(b *KnownState) GroupKey {
 	for rank, id := range []string{"head", "member"} {
 		b.Put(&Instance{ID: id, Service: "s", Models: []string{"large"}, Version: 1, Group: Membership{Name: "g", Epoch: 1, Rank: rank, State: []GroupState{Open, Ready}[rank]}})
 	}
-	return Key{"g", 1}
+	return GroupKey{"g", 1}
 }
 
 // A lapsed member stops counting when lapsedMemberTimeout ends, though no entry changes then.
 func TestLapsedMemberExpiresFromView(t *testing.T) {
-	b := NewBelief(heartbeat, sizes)
+	b := NewKnownState(heartbeat, sizes)
 	key := putPair(b)
 	b.Remove("member", start, start)
 	must.True(t, b.View(start).Groups[key].Serving())
@@ -130,7 +130,7 @@
 
 // A member whose entry was added and removed between two views is known only by its removal.
 func TestMemberAddedAndRemovedBetweenViewsCountsAsLapsed(t *testing.T) {
-	b := NewBelief(heartbeat, sizes)
+	b := NewKnownState(heartbeat, sizes)
 	key := putPair(b)
 	member := b.instances["member"]
 	b.Discard("member", 1, start)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,31 +29,31 @@
 	State GroupState
 }
 
-// Key identifies one assembly of a group: its name and epoch.
-type Key struct {
+// GroupKey identifies one assembly of a group: its name and epoch.
+type GroupKey struct {
 	Name  string
 	Epoch uint64
 }
 
 // Key returns the identity of the member's group.
-func (m Membership) Key() Key { return Key{m.Name, m.Epoch} }
+func (m Membership) Key() GroupKey { return GroupKey{m.Name, m.Epoch} }
 
 // Instance is one incarnation of an upstream process, as its own entry describes it.
 type Instance struct {
 	ID string
-	// Born is the start of the process in Unix milliseconds by the instance's own clock; 0:
+	// StartedAt is the start of the process in Unix milliseconds by the instance's own clock; 0:
 	// not reported. It tells the incarnations of one id apart; an incarnation keeps nothing of
 	// the one before.
-	Born     int64
-	Service  string
-	Address  string // IP:port
-	Zone     string // failure domain of the machine
-	Domain   string // fabric domain; empty for plain services
-	Draining bool
-	Slots    int
-	Models   []string // loaded models
-	Staged   []string // models on the host's disk, fast to load
-	Group    Membership
+	StartedAt int64
+	Service   string
+	Address   string // IP:port
+	Zone      string // failure domain of the machine
+	Domain    string // fabric domain; empty for plain services
+	Draining  bool
+	Slots     int
+	Models    []string // loaded models
+	Staged    []string // models on the host's disk, fast to load
+	Group     Membership
 	// Version is the store's revision of the entry.
 	Version uint64
 }
@@ -63,7 +63,7 @@
 
 // Group is one assembly of instances, derived from their entries.
 type Group struct {
-	Key     Key
+	Key     GroupKey
 	Service string
 	Model   string
 	Zone    string
@@ -101,31 +101,31 @@
 // View is everything that a daemon knows of the instances at one time. It is immutable.
 type View struct {
 	Revision  uint64
-	Seen      time.Time // when the call that last proved this view was sent
+	ProvedAt  time.Time // when the call that last proved this view was sent
 	Instances map[string]*Instance
 	Services  map[string][]*Instance // by service, ordered by id
-	Groups    map[Key]*Group
+	Groups    map[GroupKey]*Group
 	// Removed holds the instances whose entries were removed in the last 60 s, by id.
-	Removed map[string]Gone
+	Removed map[string]RemovedInstance
 }
 
-// Gone is an instance whose entry was removed, and when.
-type Gone struct {
+// RemovedInstance is an instance whose entry was removed, and when.
+type RemovedInstance struct {
 	Instance *Instance
 	At       time.Time
 	// Lapsed: the instance may still serve. It was ready in its group and not draining, and its
-	// entry was removed at most lapsedMemberTimeout ago; for a head it also ends at LeadsUntil.
+	// entry was removed at most lapsedMemberTimeout ago; for a head it also ends at HeadGraceEnd.
 	Lapsed bool
-	// Leads: the instance is a lapsed head that may be sent requests, until LeadsUntil.
-	Leads      bool
-	LeadsUntil time.Time
+	// Leads: the instance is a lapsed head that may be sent requests, until HeadGraceEnd.
+	InHeadGrace  bool
+	HeadGraceEnd time.Time
 }
 
-// LeadsUntil returns until when a lapsed head may be sent requests; lapsed is false if head
+// HeadGraceEnd returns until when a lapsed head may be sent requests; lapsed is false if head
 // is not such a head.
-func (v *View) LeadsUntil(head *Instance) (until time.Time, lapsed bool) {
+func (v *View) HeadGraceEnd(head *Instance) (until time.Time, lapsed bool) {
 	gone, removed := v.Removed[head.ID]
-	return gone.LeadsUntil, removed && gone.Leads
+	return gone.HeadGraceEnd, removed && gone.InHeadGrace
 }
 
 // SizeOf returns the number of instances in a replica of a model; 0: unknown.
--- a/internal/fleet/follower.go
+++ b/internal/fleet/follower.go
@@ -19,10 +19,10 @@
 	// its history a watch may receive nothing until it ends, so this bounds how long
 	// changes are missed.
 	watchWait = 3 * time.Second
-	// ProveWait is the wait of a watch that is only to prove the known state: after the first
+	// ProofWait is the wait of a watch that is only to prove the known state: after the first
 	// listing, as nothing is served before the proof, and after a call without an answer, as a
 	// watch that waits for changes would hide the store's return until there are some.
-	ProveWait = time.Millisecond
+	ProofWait = time.Millisecond
 	// defaultUpdatePause is the pause after a call that brought changes where UpdatePause is
 	// not set, so that a burst of changes costs one call and not one each.
 	defaultUpdatePause = 700 * time.Millisecond
@@ -48,7 +48,7 @@
 	Kind   string // of the instances' entries
 	Decode Decode
 	Log    *zap.Logger
-	state  *Belief
+	state  *KnownState
 	view   atomic.Pointer[View]
 	// UpdatePause returns the pause after a call that brought changes; nil: defaultUpdatePause.
 	UpdatePause  func() time.Duration
@@ -59,7 +59,7 @@
 }
 
 // NewFollower returns a follower of one kind of entries, which it keeps in state.
-func NewFollower(feed objectapi.Feed, kind string, decode Decode, state *Belief, log *zap.Logger) *Follower {
+func NewFollower(feed objectapi.Feed, kind string, decode Decode, state *KnownState, log *zap.Logger) *Follower {
 	return &Follower{Feed: feed, Kind: kind, Decode: decode, Log: log, state: state, changed: make(chan struct{}, 1), sizesChanged: make(chan struct{}, 1), relist: make(chan struct{}, 1)}
 }
 
@@ -127,7 +127,7 @@
 		case <-f.sizesChanged:
 			f.state.InvalidateView()
 			if v := f.View(); v != nil {
-				f.publish(v.Seen)
+				f.publish(v.ProvedAt)
 			}
 		case r := <-results:
 			f.applyResult(r, f.Clock.Now())
@@ -195,7 +195,7 @@
 	}
 	if in := f.decode(e.Object, now); in != nil {
 		f.state.Put(in)
-		f.Log.Debug("instance entry", zap.String("instance", in.ID), zap.Int64("born", in.Born), zap.Bool("draining", in.Draining),
+		f.Log.Debug("instance entry", zap.String("instance", in.ID), zap.Int64("born", in.StartedAt), zap.Bool("draining", in.Draining),
 			zap.String("group", in.Group.Name), zap.Uint64("epoch", in.Group.Epoch), zap.Int("rank", in.Group.Rank),
 			zap.String("state", string(in.Group.State)), zap.Strings("models", in.Models), zap.Strings("staged", in.Staged),
 			zap.String("domain", in.Domain), zap.Uint64("version", in.Version))
--- a/internal/fleet/follower_test.go
+++ b/internal/fleet/follower_test.go
@@ -66,7 +66,7 @@
 	decode := func(id string, version uint64, _ []byte) (*Instance, error) {
 		return &Instance{ID: id, Service: "s", Version: version}, nil
 	}
-	f := NewFollower(feed, "entries", decode, NewBelief(heartbeat, sizes), zap.NewNop())
+	f := NewFollower(feed, "entries", decode, NewKnownState(heartbeat, sizes), zap.NewNop())
 	f.Clock = testClock()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -133,7 +133,7 @@
 	modelSize := 0
 	feed := &scriptedFeed{lists: make(chan objectapi.Listing), follows: make(chan followCall)}
 	decode := func(id string, version uint64, _ []byte) (*Instance, error) { return member(id, 0, Open), nil }
-	f := NewFollower(feed, "entries", decode, NewBelief(heartbeat, func(string, string) int { return modelSize }), zap.NewNop())
+	f := NewFollower(feed, "entries", decode, NewKnownState(heartbeat, func(string, string) int { return modelSize }), zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -141,11 +141,11 @@
 	feed.lists <- objectapi.Listing{Objects: []objectapi.Object{object("a", 3)}, Revision: 5}
 	(<-feed.follows).answer <- followAnswer{revision: 5}
 	<-f.Changed()
-	must.False(t, f.View().Groups[Key{"g", 3}].Serving())
+	must.False(t, f.View().Groups[GroupKey{"g", 3}].Serving())
 	modelSize = 1
 	f.SizesChanged()
 	<-f.Changed()
-	must.True(t, f.View().Groups[Key{"g", 3}].Serving())
+	must.True(t, f.View().Groups[GroupKey{"g", 3}].Serving())
 }
 
 // The first listing is stale, as the watch after it proves it: a current listing cost each
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -9,19 +9,19 @@
 
 // entry returns the entry of one incarnation at a version of the store.
 func entry(id string, startedAt int64, version uint64, group Membership) *Instance {
-	return &Instance{ID: id, Service: "s", Born: startedAt, Version: version, Models: []string{"large"}, Group: group}
+	return &Instance{ID: id, Service: "s", StartedAt: startedAt, Version: version, Models: []string{"large"}, Group: group}
 }
 
 // openPair returns a known state with an open group of two.
-func openPair() *Belief {
-	b := NewBelief(heartbeat, sizes)
+func openPair() *KnownState {
+	b := NewKnownState(heartbeat, sizes)
 	b.Put(entry("head", 100, 1, Membership{"g", 3, 0, Open}))
 	b.Put(entry("member", 100, 2, Membership{"g", 3, 1, Ready}))
 	return b
 }
 
-func (b *Belief) serving() bool {
-	g := b.View(start).Groups[Key{"g", 3}]
+func (b *KnownState) serving() bool {
+	g := b.View(start).Groups[GroupKey{"g", 3}]
 	return g != nil && g.Serving()
 }
 
@@ -41,7 +41,7 @@
 	b.Put(entry("member", 200, 5, Membership{}))
 	b.Put(entry("member", 100, 6, Membership{"g", 3, 1, Ready}))
 	must.False(t, b.serving())
-	must.Eq(t, int64(200), b.View(start).Instances["member"].Born)
+	must.Eq(t, int64(200), b.View(start).Instances["member"].StartedAt)
 }
 
 // The removal of the later incarnation's entry does not bring the earlier incarnation back.
@@ -71,12 +71,12 @@
 	b.Put(entry("member", 50, 5, Membership{}))
 	must.False(t, b.serving())
 	b.Put(entry("member", 100, 6, Membership{"g", 3, 1, Ready})) // late
-	must.Eq(t, int64(50), b.View(start).Instances["member"].Born)
+	must.Eq(t, int64(50), b.View(start).Instances["member"].StartedAt)
 }
 
 // Entries without a start time are ordered by the store's revision alone.
 func TestEntriesWithoutStartTimeAreOrderedByRevision(t *testing.T) {
-	b := NewBelief(heartbeat, sizes)
+	b := NewKnownState(heartbeat, sizes)
 	b.Put(entry("a", 0, 1, Membership{}))
 	b.Put(entry("a", 0, 3, Membership{"g", 3, 0, Open}))
 	b.Put(entry("a", 0, 2, Membership{}))
--- a/internal/fleet/known_state.go
+++ b/internal/fleet/known_state.go
@@ -19,42 +19,42 @@
 	lapsedMemberTimeout = 15 * time.Second
 )
 
-// Belief accumulates listings and changes of the instances' entries and builds views from
+// KnownState accumulates listings and changes of the instances' entries and builds views from
 // them. It is not safe for concurrent use: one goroutine owns it. Time is passed in.
-type Belief struct {
-	// LeadsFor is how long a head whose entry disappeared without a notice may be sent requests,
+type KnownState struct {
+	// LapsedHeadGrace is how long a head whose entry disappeared without a notice may be sent requests,
 	// from the last proof that the entry existed; 0: not at all.
-	LeadsFor          time.Duration
+	LapsedHeadGrace   time.Duration
 	size              SizeOf
 	reachability      *Reachability
 	instances         map[string]*Instance
 	inGrace           map[string]bool // entry removed right after an outage, instance kept
-	removed           map[string]Gone
+	removed           map[string]RemovedInstance
 	endedIncarnations map[string][]int64 // start times of the ended incarnations of an id
 	revision          uint64
 	lastView          *View // published most recently
 }
 
-// NewBelief returns an empty known state. heartbeat is the time between the writes of
+// NewKnownState returns an empty known state. heartbeat is the time between the writes of
 // an instance's own entry: entries may lapse in an outage of the store of that length, as
 // it may have begun some heartbeats before a call showed it.
-func NewBelief(heartbeat time.Duration, size SizeOf) *Belief {
-	return &Belief{size: size, lastView: &View{}, reachability: NewReachability(heartbeat),
-		instances: map[string]*Instance{}, inGrace: map[string]bool{}, removed: map[string]Gone{}, endedIncarnations: map[string][]int64{}}
+func NewKnownState(heartbeat time.Duration, size SizeOf) *KnownState {
+	return &KnownState{size: size, lastView: &View{}, reachability: NewReachability(heartbeat),
+		instances: map[string]*Instance{}, inGrace: map[string]bool{}, removed: map[string]RemovedInstance{}, endedIncarnations: map[string][]int64{}}
 }
 
 // Reachability returns the record of the outcomes of calls to the store. After an outage in
 // which entries may have lapsed, instances with missing entries are kept for outageGrace.
-func (b *Belief) Reachability() *Reachability { return b.reachability }
+func (b *KnownState) Reachability() *Reachability { return b.reachability }
 
 // StoreFailed records that a call to the store, sent at a time, got no answer.
-func (b *Belief) StoreFailed(sentAt time.Time) { b.reachability.RecordFailure(sentAt) }
+func (b *KnownState) StoreFailed(sentAt time.Time) { b.reachability.RecordFailure(sentAt) }
 
 // StoreAnswered records that the store answered at a time.
-func (b *Belief) StoreAnswered(at time.Time) { b.reachability.RecordAnswer(at) }
+func (b *KnownState) StoreAnswered(at time.Time) { b.reachability.RecordAnswer(at) }
 
 // Replace applies a whole listing. provedAt is when the known state was last proved.
-func (b *Belief) Replace(instances []*Instance, revision uint64, provedAt, now time.Time) {
+func (b *KnownState) Replace(instances []*Instance, revision uint64, provedAt, now time.Time) {
 	present := make(map[string]bool, len(instances))
 	for _, in := range instances {
 		present[in.ID] = true
@@ -72,16 +72,16 @@
 // late entry of an earlier incarnation would bring back a group that the instance left when
 // it ended. Of two incarnations the one seen first is the earlier: the instance's clock may
 // step back between them.
-func (b *Belief) Put(in *Instance) {
+func (b *KnownState) Put(in *Instance) {
 	old := b.instances[in.ID]
-	if old != nil && old.Version > in.Version || slices.Contains(b.endedIncarnations[in.ID], in.Born) {
+	if old != nil && old.Version > in.Version || slices.Contains(b.endedIncarnations[in.ID], in.StartedAt) {
 		return
 	}
 	if old == nil {
 		old = b.removed[in.ID].Instance
 	}
-	if old != nil && old.Born != in.Born && old.Born != 0 {
-		b.endedIncarnations[in.ID] = append(b.endedIncarnations[in.ID], old.Born)
+	if old != nil && old.StartedAt != in.StartedAt && old.StartedAt != 0 {
+		b.endedIncarnations[in.ID] = append(b.endedIncarnations[in.ID], old.StartedAt)
 	}
 	b.instances[in.ID] = in
 	delete(b.inGrace, in.ID)
@@ -92,13 +92,13 @@
 // counts from the first answer to any call after it. Counted from the answer that brought the
 // removal, for which a watch may wait long after the store's return, requests would reach an
 // instance that left.
-func (b *Belief) outageGraceEnd() time.Time { return b.reachability.RecoveredAt().Add(outageGrace) }
+func (b *KnownState) outageGraceEnd() time.Time { return b.reachability.RecoveredAt().Add(outageGrace) }
 
 // Remove applies the removal of an entry and reports whether the instance is kept: right
 // after an outage it is, until the grace ends, unless it was draining.
 //
 // provedAt is when the entry was last proved to exist.
-func (b *Belief) Remove(id string, provedAt, now time.Time) (kept bool) {
+func (b *KnownState) Remove(id string, provedAt, now time.Time) (kept bool) {
 	in := b.instances[id]
 	if in == nil {
 		return false
@@ -116,37 +116,37 @@
 // LeadsFor after provedAt: an engine cut off from the store keeps serving. Instances that leave may
 // be sent requests for a few seconds anyway, and a dead one is detected by its streams and by
 // probes.
-func (b *Belief) startHeadGrace(id string, provedAt, now time.Time) {
+func (b *KnownState) startHeadGrace(id string, provedAt, now time.Time) {
 	gone := b.removed[id]
 	in := gone.Instance
-	gone.LeadsUntil = provedAt.Add(b.LeadsFor)
-	if in.Group.Rank == 0 && in.Group.State == Open && !in.Draining && now.Before(gone.LeadsUntil) {
-		gone.Leads, gone.Lapsed = true, true
+	gone.HeadGraceEnd = provedAt.Add(b.LapsedHeadGrace)
+	if in.Group.Rank == 0 && in.Group.State == Open && !in.Draining && now.Before(gone.HeadGraceEnd) {
+		gone.InHeadGrace, gone.Lapsed = true, true
 		b.removed[id] = gone
 	}
 }
 
 // Discard applies an entry that, since a version, describes no instance: another writer's, or
 // one that cannot be decoded. The instance that it described before is removed at once.
-func (b *Belief) Discard(id string, version uint64, now time.Time) {
+func (b *KnownState) Discard(id string, version uint64, now time.Time) {
 	if in := b.instances[id]; in != nil && in.Version <= version {
 		b.forget(id, now)
 	}
 }
 
 // Advance records that all changes up to a revision have been applied.
-func (b *Belief) Advance(revision uint64) { b.revision = max(b.revision, revision) }
+func (b *KnownState) Advance(revision uint64) { b.revision = max(b.revision, revision) }
 
 // Revision returns the store's revision up to which all changes are known.
-func (b *Belief) Revision() uint64 { return b.revision }
+func (b *KnownState) Revision() uint64 { return b.revision }
 
 // Expire drops instances whose grace or retention has ended at now and reports whether the
 // view changed by it.
-func (b *Belief) Expire(now time.Time) bool {
+func (b *KnownState) Expire(now time.Time) bool {
 	changed := false
 	for id, gone := range b.removed {
-		if gone.Lapsed && now.Sub(gone.At) > lapsedMemberTimeout || gone.Leads && !now.Before(gone.LeadsUntil) {
-			gone.Lapsed, gone.Leads, changed = false, false, true
+		if gone.Lapsed && now.Sub(gone.At) > lapsedMemberTimeout || gone.InHeadGrace && !now.Before(gone.HeadGraceEnd) {
+			gone.Lapsed, gone.InHeadGrace, changed = false, false, true
 			b.removed[id] = gone
 		}
 		if now.Sub(gone.At) > removedRetention {
@@ -165,20 +165,20 @@
 
 // forget moves an instance to the removed ones. A ready member that is not draining counts as
 // lapsed; a head does so only by startHeadGrace.
-func (b *Belief) forget(id string, now time.Time) {
+func (b *KnownState) forget(id string, now time.Time) {
 	in := b.instances[id]
 	ready := in.Group.State == Ready || in.Group.State == Open
-	b.removed[id] = Gone{Instance: in, At: now, Lapsed: ready && in.Group.Rank > 0 && !in.Draining}
+	b.removed[id] = RemovedInstance{Instance: in, At: now, Lapsed: ready && in.Group.Rank > 0 && !in.Draining}
 	delete(b.instances, id)
 	delete(b.inGrace, id)
 }
 
 // InvalidateView makes the next View rebuild every group, as the sizes of models may have
 // changed.
-func (b *Belief) InvalidateView() { b.lastView = &View{} }
+func (b *KnownState) InvalidateView() { b.lastView = &View{} }
 
 // View returns the known state, proved at a time, as an immutable view.
-func (b *Belief) View(provedAt time.Time) *View {
+func (b *KnownState) View(provedAt time.Time) *View {
 	b.lastView = b.lastView.next(b.revision, provedAt, maps.Clone(b.instances), maps.Clone(b.removed), b.size)
 	return b.lastView
 }
--- a/internal/fleet/known_state_test.go
+++ b/internal/fleet/known_state_test.go
@@ -13,15 +13,15 @@
 
 func sizes(_, model string) int { return map[string]int{"large": 2}[model] }
 
-func newTestState(ids ...string) *Belief {
-	b := NewBelief(heartbeat, sizes)
+func newTestState(ids ...string) *KnownState {
+	b := NewKnownState(heartbeat, sizes)
 	for i, id := range ids {
 		b.Put(&Instance{ID: id, Service: "s", Version: uint64(i + 1)})
 	}
 	return b
 }
 
-func (b *Belief) ids() []string {
+func (b *KnownState) ids() []string {
 	var out []string
 	for _, in := range b.View(start).Services["s"] {
 		out = append(out, in.ID)
@@ -106,30 +106,30 @@
 		"another's member": {[]*Instance{member("a", 0, Open), {ID: "b", Service: "s", Group: Membership{Name: "g", Epoch: 4, Rank: 1, State: Ready}}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBelief(heartbeat, sizes)
+			b := NewKnownState(heartbeat, sizes)
 			for _, m := range c.members {
 				b.Put(m)
 			}
-			g := b.View(start).Groups[Key{"g", 3}]
+			g := b.View(start).Groups[GroupKey{"g", 3}]
 			must.Eq(t, c.serves, g.Serving())
 			for _, m := range c.members {
 				m.Draining = true
 			}
-			must.False(t, b.View(start).Groups[Key{"g", 3}].Serving())
+			must.False(t, b.View(start).Groups[GroupKey{"g", 3}].Serving())
 		})
 	}
 }
 
 func TestGroupOfAnUnknownModelDoesNotServe(t *testing.T) {
-	b := NewBelief(heartbeat, func(string, string) int { return 0 })
+	b := NewKnownState(heartbeat, func(string, string) int { return 0 })
 	b.Put(member("a", 0, Open))
-	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving())
+	must.False(t, b.View(start).Groups[GroupKey{"g", 3}].Serving())
 }
 
 // When a part of the instances is cut off from the store for some seconds, nearly every group has
 // a member among them. The groups keep serving as long as the entries of their heads are seen.
 func TestGroupServesOnWhenMemberEntryLapses(t *testing.T) {
-	key := Key{"g", 3}
+	key := GroupKey{"g", 3}
 	for name, c := range map[string]struct {
 		gone   *Instance
 		serves bool
@@ -140,7 +140,7 @@
 		"draining": {&Instance{ID: "b", Service: "s", Models: []string{"large"}, Draining: true, Group: Membership{Name: "g", Epoch: 3, Rank: 1, State: Ready}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBelief(heartbeat, sizes)
+			b := NewKnownState(heartbeat, sizes)
 			b.Put(member("a", 0, Open))
 			b.Put(c.gone)
 			b.Remove("b", start, start)
@@ -155,24 +155,24 @@
 // Requests must not reach an instance whose entry is gone: a group without its head does not
 // serve.
 func TestGroupStopsServingWhenHeadEntryLapses(t *testing.T) {
-	b := NewBelief(heartbeat, sizes)
+	b := NewKnownState(heartbeat, sizes)
 	b.Put(member("a", 0, Open))
 	b.Put(member("b", 1, Ready))
 	b.Remove("a", start, start)
-	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving())
+	must.False(t, b.View(start).Groups[GroupKey{"g", 3}].Serving())
 }
 
 // An instance whose entry returned is a full member of the group that the entry names.
 func TestMemberWithReturnedEntryCompletesGroup(t *testing.T) {
-	b := NewBelief(heartbeat, sizes)
+	b := NewKnownState(heartbeat, sizes)
 	b.Put(member("a", 0, Open))
 	b.Put(member("b", 1, Ready))
 	b.Remove("b", start, start)
 	b.Put(member("b", 1, Ready))
-	must.True(t, b.View(start).Groups[Key{"g", 3}].Complete())
+	must.True(t, b.View(start).Groups[GroupKey{"g", 3}].Complete())
 	b.Remove("b", start, start)
 	returned := member("b", 1, Ready)
 	returned.Group.Epoch = 4
 	b.Put(returned)
-	must.False(t, b.View(start).Groups[Key{"g", 3}].Serving(), must.Sprint("the member is in another group"))
+	must.False(t, b.View(start).Groups[GroupKey{"g", 3}].Serving(), must.Sprint("the member is in another group"))
 }
--- a/internal/fleet/lapsed_head_test.go
+++ b/internal/fleet/lapsed_head_test.go
@@ -16,23 +16,23 @@
 // of the other groups were late. A head was dropped at once, while a member's lapse was tolerated.
 func TestLapsedHeadServesDuringGrace(t *testing.T) {
 	b := openPair()
-	b.LeadsFor = headGrace
+	b.LapsedHeadGrace = headGrace
 	now := start.Add(time.Second)
 	b.Remove("head", start, now)
 	must.True(t, b.serving())
-	must.Eq(t, "head", b.View(now).Groups[Key{"g", 3}].Head.ID)
+	must.Eq(t, "head", b.View(now).Groups[GroupKey{"g", 3}].Head.ID)
 	must.False(t, b.Expire(start.Add(headGrace-1)))
 	must.True(t, b.serving())
 	must.True(t, b.Expire(start.Add(headGrace)))
 	must.False(t, b.serving())
-	must.Nil(t, b.View(now).Groups[Key{"g", 3}].Head)
+	must.Nil(t, b.View(now).Groups[GroupKey{"g", 3}].Head)
 }
 
 // The grace counts from the last proof that the entry existed, not from when this daemon learned
 // of the removal: other daemons or the store may have known of it for long.
 func TestLapsedHeadGraceCountsFromLastProof(t *testing.T) {
 	b := openPair()
-	b.LeadsFor = headGrace
+	b.LapsedHeadGrace = headGrace
 	b.Remove("head", start, start.Add(headGrace))
 	must.False(t, b.serving())
 }
@@ -45,7 +45,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := openPair()
-			b.LeadsFor = headGrace
+			b.LapsedHeadGrace = headGrace
 			head := entry("head", 100, 5, Membership{"g", 3, 0, Open})
 			change(head)
 			b.Put(head)
@@ -58,7 +58,7 @@
 // The grace ends when the head returns as another incarnation or in another group.
 func TestRestartedHeadGetsNoGrace(t *testing.T) {
 	b := openPair()
-	b.LeadsFor = headGrace
+	b.LapsedHeadGrace = headGrace
 	b.Remove("head", start, start)
 	b.Put(entry("head", 200, 9, Membership{}))
 	must.False(t, b.serving())
--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -15,12 +15,12 @@
 // after the last change received and not after the store's revision in an answer without
 // changes: a watch that received nothing may have missed some.
 func (f *Follower) followStore(ctx context.Context, results chan<- callResult, resume <-chan uint64) {
-	next, retry, wait := listStale, minRetryBackoff, ProveWait
+	next, retry, wait := listStale, minRetryBackoff, ProofWait
 	var revision uint64
 	for ctx.Err() == nil {
 		r, interrupted := f.callOnce(ctx, next, revision, wait)
 		if interrupted != notInterrupted {
-			next, wait = watchChanges, ProveWait
+			next, wait = watchChanges, ProofWait
 			if interrupted == forRelist {
 				next = listCurrent
 			}
@@ -42,7 +42,7 @@
 			continue
 		case r.err != nil:
 			f.backOff(ctx, retry)
-			retry, wait = min(2*retry, maxRetryBackoff), ProveWait
+			retry, wait = min(2*retry, maxRetryBackoff), ProofWait
 			continue
 		}
 		if next == watchChanges {
--- a/internal/formation/bench_test.go
+++ b/internal/formation/bench_test.go
@@ -30,7 +30,7 @@
 		}
 		all[id] = in
 	}
-	return fleet.Build(1, time.Time{}, all, nil, func(_, model string) int {
+	return fleet.BuildView(1, time.Time{}, all, nil, func(_, model string) int {
 		m, _ := engine.Model(model)
 		return m.Size
 	})
--- a/internal/formation/dissolve.go
+++ b/internal/formation/dissolve.go
@@ -49,7 +49,7 @@
 // leftGroup is a group that an instance left and the version of its entry from before. A newer
 // entry with the same group shows that the instance has rejoined.
 type leftGroup struct {
-	group   fleet.Key
+	group   fleet.GroupKey
 	version uint64
 }
 
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -54,9 +54,9 @@
 // startGroup records a new forming group.
 func (p *Planner) startGroup(c *candidate, now time.Time) *formingGroup {
 	epoch := p.nextEpoch()
-	f := &formingGroup{key: fleet.Key{Name: groupName(c.model.Name, epoch), Epoch: epoch}, model: c.model, since: now, loads: c.loads}
+	f := &formingGroup{key: fleet.GroupKey{Name: groupName(c.model.Name, epoch), Epoch: epoch}, model: c.model, since: now, loads: c.loads}
 	for _, in := range c.members {
-		f.members, f.incarnations = append(f.members, in.ID), append(f.incarnations, in.Born)
+		f.members, f.incarnations = append(f.members, in.ID), append(f.incarnations, in.StartedAt)
 	}
 	p.forming[f.key] = f
 	return f
--- a/internal/formation/incarnation.go
+++ b/internal/formation/incarnation.go
@@ -13,8 +13,8 @@
 	}
 	for _, in := range v.Services[p.Service] {
 		startedAt, known := p.incarnations[in.ID]
-		p.incarnations[in.ID] = in.Born
-		if known && startedAt != in.Born {
+		p.incarnations[in.ID] = in.StartedAt
+		if known && startedAt != in.StartedAt {
 			delete(p.lastModel, in.ID)
 			delete(p.staging, in.ID)
 			delete(p.leftGroups, in.ID)
--- a/internal/formation/incarnation_test.go
+++ b/internal/formation/incarnation_test.go
@@ -16,9 +16,9 @@
 // keeps its staged models.
 func (s *sim) restart(id string) {
 	e := s.engines[id]
-	e.lastEpoch, e.members, e.staging = 0, map[fleet.Key][]string{}, ""
+	e.lastEpoch, e.members, e.staging = 0, map[fleet.GroupKey][]string{}, ""
 	e.in.Models = nil
-	e.in.Born++
+	e.in.StartedAt++
 	e.setMembership(fleet.Membership{})
 }
 
@@ -53,7 +53,7 @@
 	p.BeforeFirstRequest = true // members load as they join
 	s.run(p, 500*time.Millisecond)
 	must.MapLen(t, 1, p.forming)
-	var before fleet.Key
+	var before fleet.GroupKey
 	for key := range p.forming {
 		before = key
 	}
@@ -73,7 +73,7 @@
 func (p *incarnationProber) Probe(_ context.Context, in *fleet.Instance) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if in.Born != p.startedAt {
+	if in.StartedAt != p.startedAt {
 		return ErrAnotherLife
 	}
 	return nil
@@ -84,10 +84,10 @@
 func TestDeathAppliesToOneIncarnation(t *testing.T) {
 	prober := &incarnationProber{startedAt: 2}
 	d := newFailureDetector(prober, zap.NewNop())
-	first := &fleet.Instance{ID: "a", Service: simService, Born: 1}
-	next := &fleet.Instance{ID: "a", Service: simService, Born: 2}
+	first := &fleet.Instance{ID: "a", Service: simService, StartedAt: 1}
+	next := &fleet.Instance{ID: "a", Service: simService, StartedAt: 2}
 	view := func(in *fleet.Instance) *fleet.View {
-		return fleet.Build(1, time.Now(), map[string]*fleet.Instance{"a": in}, nil, func(string, string) int { return 0 })
+		return fleet.BuildView(1, time.Now(), map[string]*fleet.Instance{"a": in}, nil, func(string, string) int { return 0 })
 	}
 	d.probe(context.Background(), first)
 	must.MapNotContainsKey(t, d.excludeDead(view(first), nil).Instances, "a")
--- a/internal/formation/metrics.go
+++ b/internal/formation/metrics.go
@@ -13,12 +13,12 @@
 // goroutine owns it; only observeOrder may be called from others.
 type planMetrics struct {
 	set          *metrics.Set
-	servingSince map[fleet.Key]time.Time // when each serving group was first seen to serve
-	loadsCounted map[*Planner]int        // loads counted so far, by planner
+	servingSince map[fleet.GroupKey]time.Time // when each serving group was first seen to serve
+	loadsCounted map[*Planner]int             // loads counted so far, by planner
 }
 
 func newPlanMetrics(set *metrics.Set) *planMetrics {
-	return &planMetrics{set: set, servingSince: map[fleet.Key]time.Time{}, loadsCounted: map[*Planner]int{}}
+	return &planMetrics{set: set, servingSince: map[fleet.GroupKey]time.Time{}, loadsCounted: map[*Planner]int{}}
 }
 
 // observeOrder counts one order by its outcome.
--- a/internal/formation/order.go
+++ b/internal/formation/order.go
@@ -19,7 +19,7 @@
 	Op       Op
 	Instance string
 	Address  string
-	Group    fleet.Key
+	Group    fleet.GroupKey
 	Model    string
 	Members  []string // of a join: ids in rank order; the first is the head
 	Version  uint64   // of a leave: version of the instance's entry on which the decision was based
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -36,7 +36,7 @@
 
 // formingGroup is a group whose joins this planner has sent and that it has not yet seen open.
 type formingGroup struct {
-	key          fleet.Key
+	key          fleet.GroupKey
 	model        routes.Model
 	members      []string
 	incarnations []int64 // start times that identify the members' incarnations, in the same order
@@ -63,22 +63,22 @@
 	recentLoads []time.Time // start times within LoadWindow, oldest first
 	// loadsStarted counts all loads that this planner started.
 	loadsStarted int
-	forming      map[fleet.Key]*formingGroup
-	lastSent     map[sentKey]time.Time   // when each order was last sent
-	lastJoins    map[string]sentJoin     // the last join sent, by instance
-	leftGroups   map[string]leftGroup    // groups that instances left, until their entries show it
-	resent       map[string]time.Time    // when a join was last sent again, by instance
-	staging      map[string]stagingLoad  // by instance
-	warming      map[fleet.Key]time.Time // deadline of each warm-up, by the spare's group of one
-	lastModel    map[string]string       // model of each instance's last group, as seen or ordered
-	assigned     map[string]string       // model of each domain
-	closing      map[fleet.Key]time.Time // when a group was first ordered to close
-	incarnations map[string]int64        // start time of each instance's incarnation, as last seen
+	forming      map[fleet.GroupKey]*formingGroup
+	lastSent     map[sentKey]time.Time        // when each order was last sent
+	lastJoins    map[string]sentJoin          // the last join sent, by instance
+	leftGroups   map[string]leftGroup         // groups that instances left, until their entries show it
+	resent       map[string]time.Time         // when a join was last sent again, by instance
+	staging      map[string]stagingLoad       // by instance
+	warming      map[fleet.GroupKey]time.Time // deadline of each warm-up, by the spare's group of one
+	lastModel    map[string]string            // model of each instance's last group, as seen or ordered
+	assigned     map[string]string            // model of each domain
+	closing      map[fleet.GroupKey]time.Time // when a group was first ordered to close
+	incarnations map[string]int64             // start time of each instance's incarnation, as last seen
 }
 
 // sentJoin is a join that may still be carried out.
 type sentJoin struct {
-	group fleet.Key
+	group fleet.GroupKey
 	at    time.Time
 }
 
@@ -86,7 +86,7 @@
 type sentKey struct {
 	op       Op
 	instance string
-	group    fleet.Key
+	group    fleet.GroupKey
 	model    string
 }
 
@@ -95,8 +95,8 @@
 // joins twice.
 func NewPlanner(service string, term uint64, inherited map[string]bool, now time.Time) *Planner {
 	return &Planner{Service: service, term: term, inheritedResends: inherited, started: now,
-		forming: map[fleet.Key]*formingGroup{}, lastSent: map[sentKey]time.Time{}, lastJoins: map[string]sentJoin{}, leftGroups: map[string]leftGroup{},
-		resent: map[string]time.Time{}, staging: map[string]stagingLoad{}, warming: map[fleet.Key]time.Time{}, lastModel: map[string]string{}, assigned: map[string]string{}, closing: map[fleet.Key]time.Time{}, incarnations: map[string]int64{}}
+		forming: map[fleet.GroupKey]*formingGroup{}, lastSent: map[sentKey]time.Time{}, lastJoins: map[string]sentJoin{}, leftGroups: map[string]leftGroup{},
+		resent: map[string]time.Time{}, staging: map[string]stagingLoad{}, warming: map[fleet.GroupKey]time.Time{}, lastModel: map[string]string{}, assigned: map[string]string{}, closing: map[fleet.GroupKey]time.Time{}, incarnations: map[string]int64{}}
 }
 
 // epochsPerTerm is the number of epochs in one term.
@@ -138,12 +138,14 @@
 	}
 }
 
-func sortedKeys(v *fleet.View) []fleet.Key {
-	keys := make([]fleet.Key, 0, len(v.Groups))
+func sortedKeys(v *fleet.View) []fleet.GroupKey {
+	keys := make([]fleet.GroupKey, 0, len(v.Groups))
 	for k := range v.Groups {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b fleet.Key) int { return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(keys, func(a, b fleet.GroupKey) int {
+		return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Name, b.Name))
+	})
 	return keys
 }
 
@@ -263,7 +265,7 @@
 func (p *Planner) viable(v *fleet.View, f *formingGroup, now time.Time) bool {
 	for i, id := range f.members {
 		in := v.Instances[id]
-		if in == nil || in.Born != f.incarnations[i] || in.Draining || in.Group.Epoch > f.key.Epoch || in.Group.Key() == f.key && in.Group.State == fleet.Broken {
+		if in == nil || in.StartedAt != f.incarnations[i] || in.Draining || in.Group.Epoch > f.key.Epoch || in.Group.Key() == f.key && in.Group.State == fleet.Broken {
 			return false
 		}
 	}
@@ -282,11 +284,11 @@
 // of the others as busy and returns the joins to send again because they had no effect.
 func (p *Planner) reconcileForming(v *fleet.View, busy map[string]bool, now time.Time) []Order {
 	var out []Order
-	keys := make([]fleet.Key, 0, len(p.forming))
+	keys := make([]fleet.GroupKey, 0, len(p.forming))
 	for k := range p.forming {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b fleet.Key) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	slices.SortFunc(keys, func(a, b fleet.GroupKey) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	for _, key := range keys {
 		f := p.forming[key]
 		if !p.viable(v, f, now) {
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -44,9 +44,9 @@
 	run        *steady.RunClock // does not advance while this process is not scheduled
 	log        *zap.Logger
 	mu         sync.Mutex
-	lastProbed map[fleet.Key]time.Time   // when probes of a group last started
-	dead       map[incarnation]time.Time // when an instance was last declared dead
-	detected   chan struct{}             // signaled when an instance is first declared dead
+	lastProbed map[fleet.GroupKey]time.Time // when probes of a group last started
+	dead       map[incarnation]time.Time    // when an instance was last declared dead
+	detected   chan struct{}                // signaled when an instance is first declared dead
 }
 
 // incarnation is one run of an instance under its id.
@@ -55,10 +55,10 @@
 	startedAt int64
 }
 
-func incarnationOf(in *fleet.Instance) incarnation { return incarnation{in.ID, in.Born} }
+func incarnationOf(in *fleet.Instance) incarnation { return incarnation{in.ID, in.StartedAt} }
 
 func newFailureDetector(prober Prober, log *zap.Logger) *failureDetector {
-	return &failureDetector{prober: prober, run: steady.NewRunClock(nil), log: log, lastProbed: map[fleet.Key]time.Time{}, dead: map[incarnation]time.Time{}, detected: make(chan struct{}, 1)}
+	return &failureDetector{prober: prober, run: steady.NewRunClock(nil), log: log, lastProbed: map[fleet.GroupKey]time.Time{}, dead: map[incarnation]time.Time{}, detected: make(chan struct{}, 1)}
 }
 
 // startProbes starts probes of all members of the groups with the given heads and of members whose
@@ -86,7 +86,7 @@
 }
 
 // probeDue reports whether a group is to be probed now, and records that it is.
-func (d *failureDetector) probeDue(key fleet.Key, now time.Time) bool {
+func (d *failureDetector) probeDue(key fleet.GroupKey, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.Sub(d.lastProbed[key]) < probeInterval {
@@ -163,19 +163,19 @@
 		return v
 	}
 	living := make(map[string]*fleet.Instance, len(v.Instances))
-	removed := make(map[string]fleet.Gone, len(v.Removed)+len(d.dead))
+	removed := make(map[string]fleet.RemovedInstance, len(v.Removed)+len(d.dead))
 	for id, gone := range v.Removed {
 		if _, ok := d.dead[incarnationOf(gone.Instance)]; ok {
-			gone.Lapsed, gone.Leads = false, false
+			gone.Lapsed, gone.InHeadGrace = false, false
 		}
 		removed[id] = gone
 	}
 	for id, in := range v.Instances {
 		if at, ok := d.dead[incarnationOf(in)]; ok {
-			removed[id] = fleet.Gone{Instance: in, At: at}
+			removed[id] = fleet.RemovedInstance{Instance: in, At: at}
 		} else {
 			living[id] = in
 		}
 	}
-	return fleet.Build(v.Revision, v.Seen, living, removed, size)
+	return fleet.BuildView(v.Revision, v.ProvedAt, living, removed, size)
 }
--- a/internal/formation/simulation_test.go
+++ b/internal/formation/simulation_test.go
@@ -14,7 +14,7 @@
 	alive     bool
 	cutOff    bool   // alive, but its entry is missing
 	lastEpoch uint64 // of the last join that it took
-	members   map[fleet.Key][]string
+	members   map[fleet.GroupKey][]string
 	joinsAt   time.Time // when its load for a join completes
 	staging   string    // model that its host loads; empty: none
 	stagedAt  time.Time // when its load of staging completes
@@ -28,8 +28,8 @@
 	ids      []string
 	delayed  []delayedOrder
 	engine   *routes.Engine
-	wasReady map[fleet.Key]map[string]bool // members that were ready in a group at some time
-	opened   int                           // number of times that a group opened
+	wasReady map[fleet.GroupKey]map[string]bool // members that were ready in a group at some time
+	opened   int                                // number of times that a group opened
 }
 
 type failer interface{ Fatalf(string, ...any) }
@@ -52,7 +52,7 @@
 }
 
 func newSim(t failer, domains, size int) *sim {
-	s := &sim{t: t, now: time.Unix(1000, 0), engines: map[string]*simEngine{}, engine: simModels(), wasReady: map[fleet.Key]map[string]bool{}}
+	s := &sim{t: t, now: time.Unix(1000, 0), engines: map[string]*simEngine{}, engine: simModels(), wasReady: map[fleet.GroupKey]map[string]bool{}}
 	for d := range domains {
 		for range size {
 			s.add(fmt.Sprintf("d%d", d))
@@ -64,7 +64,7 @@
 func (s *sim) add(domain string) {
 	id := fmt.Sprintf("e%02d", len(s.ids))
 	s.ids = append(s.ids, id)
-	s.engines[id] = &simEngine{alive: true, members: map[fleet.Key][]string{},
+	s.engines[id] = &simEngine{alive: true, members: map[fleet.GroupKey][]string{},
 		in: fleet.Instance{ID: id, Service: simService, Address: id, Zone: "z" + domain, Domain: domain}}
 }
 
@@ -83,16 +83,16 @@
 
 // view returns the view built from the entries of all engines.
 func (s *sim) view() *fleet.View {
-	all, removed := map[string]*fleet.Instance{}, map[string]fleet.Gone{}
+	all, removed := map[string]*fleet.Instance{}, map[string]fleet.RemovedInstance{}
 	for id, e := range s.engines {
 		in := e.in
 		if e.alive && !e.cutOff {
 			all[id] = &in
 		} else {
-			removed[id] = fleet.Gone{Instance: &in, At: s.now, Lapsed: s.lapsed(e)}
+			removed[id] = fleet.RemovedInstance{Instance: &in, At: s.now, Lapsed: s.lapsed(e)}
 		}
 	}
-	return fleet.Build(1, s.now, all, removed, func(_, model string) int {
+	return fleet.BuildView(1, s.now, all, removed, func(_, model string) int {
 		m, _ := s.engine.Model(model)
 		return m.Size
 	})
--- a/internal/formation/warm.go
+++ b/internal/formation/warm.go
@@ -27,7 +27,7 @@
 			}
 			p.lastModel[in.ID] = m.Name // recorded now, as the entry lists a loaded model only while the instance is in a group
 			epoch := p.nextEpoch()
-			key := fleet.Key{Name: groupName(warmGroupPrefix, epoch), Epoch: epoch}
+			key := fleet.GroupKey{Name: groupName(warmGroupPrefix, epoch), Epoch: epoch}
 			p.warming[key] = now.Add(m.Warm + warmGrace)
 			busy[in.ID] = true
 			out = append(out, p.unlessSentRecently(now, Order{Op: OpJoin, Instance: in.ID, Address: in.Address, Group: key, Model: m.Name,
--- a/internal/formation/warm_test.go
+++ b/internal/formation/warm_test.go
@@ -55,7 +55,7 @@
 	s.engine.Models = s.engine.Models[:1] // a group needs four engines
 	e := s.engines["e00"]
 	e.in.Staged = []string{"large"}
-	must.True(t, s.apply(Order{Op: OpJoin, Instance: "e00", Group: fleet.Key{Name: "warm-1", Epoch: 1}, Model: "large", Members: []string{"e00"}}))
+	must.True(t, s.apply(Order{Op: OpJoin, Instance: "e00", Group: fleet.GroupKey{Name: "warm-1", Epoch: 1}, Model: "large", Members: []string{"e00"}}))
 	s.run(NewPlanner(simService, 2, nil, s.now), 5*time.Second)
 	must.Eq(t, "", e.in.Group.Name)
 	must.SliceEmpty(t, s.delayed)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -185,8 +185,8 @@
 		d.uniform = func(low, high time.Duration) time.Duration { return low + rand.N(high-low) }
 	}
 	d.runClock = steady.NewRunClock(d.Clock)
-	state := fleet.NewBelief(s.Heartbeat, d.modelSize)
-	state.LeadsFor = d.drainShare(headGraceShare, 0)
+	state := fleet.NewKnownState(s.Heartbeat, d.modelSize)
+	state.LapsedHeadGrace = d.drainShare(headGraceShare, 0)
 	d.calls = newCountedFeed(d.Outside.Feed, d.Outside.ConfigKey, state.Reachability(), d.Metrics, d.Log)
 	d.calls.clock = d.Clock
 	d.Outside.Feed = d.calls
@@ -274,7 +274,7 @@
 	}
 	if in := view.Instances[instance]; in != nil {
 		now := d.Clock.Now()
-		d.gate.Observe(backpressure.Incarnation{Instance: instance, StartedAt: in.Born}, s, now, now)
+		d.gate.Observe(backpressure.Incarnation{Instance: instance, StartedAt: in.StartedAt}, s, now, now)
 	}
 }
 
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -117,7 +117,7 @@
 
 // progress returns the groups whose running streams stalled for this daemon recently, and those
 // whose streams deliver events. The picker runs on the run clock, so the time passed in is ignored.
-func (d *Daemon) progress(time.Time) (stalled, progressing []fleet.Key) {
+func (d *Daemon) progress(time.Time) (stalled, progressing []fleet.GroupKey) {
 	return d.picker.GroupProgress(d.runClock.Now())
 }
 
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -30,7 +30,7 @@
 	for _, id := range []string{"a", "b"} {
 		instances[id] = &fleet.Instance{ID: id, Service: "s"}
 	}
-	view := fleet.Build(1, time.Now(), instances, nil, nil)
+	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	w := httptest.NewRecorder()
 	return &exchange{w: w,
 		gateway: &Gateway{Codec: testCodec{}, Gate: gate, Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }),
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -29,7 +29,7 @@
 	for _, id := range []string{"a", "b"} {
 		instances[id] = &fleet.Instance{ID: id, Service: "s"}
 	}
-	view := fleet.Build(1, time.Now(), instances, nil, nil)
+	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	x = &exchange{
 		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", takeAsOtherRequest), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
@@ -55,7 +55,7 @@
 	for _, id := range []string{"a", "b"} {
 		instances[id] = &fleet.Instance{ID: id, Service: "s"}
 	}
-	view := fleet.Build(1, time.Now(), instances, nil, nil)
+	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	x := &exchange{
 		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 2}, req: &Request{}, deadline: time.Now().Add(time.Minute),
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -30,7 +30,7 @@
 	runClock := steady.NewRunClock(clock)
 	go runClock.Run(ctx)
 	rule := dispatch.BudgetRule{Ratio: 1, Window: 10 * time.Second}
-	view := fleet.Build(1, start, map[string]*fleet.Instance{"a": {ID: "a", Service: "s"}, "b": {ID: "b", Service: "s"}}, nil, nil)
+	view := fleet.BuildView(1, start, map[string]*fleet.Instance{"a": {ID: "a", Service: "s"}, "b": {ID: "b", Service: "s"}}, nil, nil)
 	r.exchange = &exchange{
 		gateway: &Gateway{Gate: newGate(), Clock: clock, RunClock: runClock, Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }),
 			View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
--- a/internal/gateway/targets.go
+++ b/internal/gateway/targets.go
@@ -123,8 +123,8 @@
 		if g.Service != service.Name || g.Model != model || !g.Serving() {
 			continue
 		}
-		out.targets = append(out.targets, dispatch.Target{Instance: g.Head.ID, StartedAt: g.Head.Born, Address: g.Head.Address, Zone: g.Zone, Group: g.Key, StallTimeout: stallTimeout})
-		if graceEnd, lapsed := v.LeadsUntil(g.Head); lapsed {
+		out.targets = append(out.targets, dispatch.Target{Instance: g.Head.ID, StartedAt: g.Head.StartedAt, Address: g.Head.Address, Zone: g.Zone, Group: g.Key, StallTimeout: stallTimeout})
+		if graceEnd, lapsed := v.HeadGraceEnd(g.Head); lapsed {
 			if out.graceEnd == nil {
 				out.graceEnd = map[string]time.Time{}
 			}
@@ -139,7 +139,7 @@
 	var out []dispatch.Target
 	for _, in := range v.Services[service] {
 		if !in.Draining {
-			out = append(out, dispatch.Target{Instance: in.ID, StartedAt: in.Born, Address: in.Address, Zone: in.Zone})
+			out = append(out, dispatch.Target{Instance: in.ID, StartedAt: in.StartedAt, Address: in.Address, Zone: in.Zone})
 		}
 	}
 	return out
--- a/internal/gateway/targets_bench_test.go
+++ b/internal/gateway/targets_bench_test.go
@@ -22,7 +22,7 @@
 		byID[id] = &fleet.Instance{ID: id, Service: "engines", Address: "10.0.0.1:80", Models: []string{fmt.Sprint("m", group%2)},
 			Group: fleet.Membership{Name: fmt.Sprint("g", group), Epoch: 1, Rank: i % benchReplicaSize, State: benchState(i)}}
 	}
-	return fleet.Build(1, time.Time{}, byID, nil, func(string, string) int { return benchReplicaSize })
+	return fleet.BuildView(1, time.Time{}, byID, nil, func(string, string) int { return benchReplicaSize })
 }
 
 // benchState returns the state of the i-th instance: Open for the heads of groups.
@@ -90,7 +90,7 @@
 		v := benchView(instances)
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
 			for b.Loop() {
-				fleet.Build(1, time.Time{}, v.Instances, nil, func(string, string) int { return benchReplicaSize })
+				fleet.BuildView(1, time.Time{}, v.Instances, nil, func(string, string) int { return benchReplicaSize })
 			}
 		})
 	}
--- a/internal/gateway/targets_test.go
+++ b/internal/gateway/targets_test.go
@@ -16,8 +16,8 @@
 // machine and does not run on a suspended one.
 func TestLapsedHeadIsNoTargetAfterItsGracePeriod(t *testing.T) {
 	now := time.Now()
-	known := fleet.NewBelief(time.Second, func(string, string) int { return 1 })
-	known.LeadsFor = 3 * time.Second
+	known := fleet.NewKnownState(time.Second, func(string, string) int { return 1 })
+	known.LapsedHeadGrace = 3 * time.Second
 	for _, id := range []string{"gone", "here"} {
 		known.Put(&fleet.Instance{ID: id, Service: "s", Models: []string{"m"}, Version: 1, Group: fleet.Membership{Name: id, Epoch: 1, State: fleet.Open}})
 	}
@@ -27,7 +27,7 @@
 	replicaSize := func(_, _ string) int { return 2 }
 	known.Remove("head", now, now)
 	view := known.View(now)
-	view.Groups[fleet.Key{Name: "pair", Epoch: 2}].Size = replicaSize("s", "m")
+	view.Groups[fleet.GroupKey{Name: "pair", Epoch: 2}].Size = replicaSize("s", "m")
 	service := &routes.Service{Name: "s", Engine: &routes.Engine{}}
 	ids := func(at time.Time) (out []string) {
 		for _, target := range listTargets(view, service, "m").validAt(at) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -324,7 +324,7 @@
 	}
 	n.viaRelay.Store(false)
 	if n.suspect != "" && !n.opts.Direct() && !n.stopping.Load() {
-		wait = min(wait, max(n.nextSearchAt.Sub(n.now()), fleet.ProveWait)) // the next search is due then
+		wait = min(wait, max(n.nextSearchAt.Sub(n.now()), fleet.ProofWait)) // the next search is due then
 	}
 	return n.followStore(ctx, after, wait)
 }
@@ -335,7 +335,7 @@
 	entries, _, _ := n.history.proofs()
 	maxWait := n.staleFraction(relayWaitFraction)
 	if n.now().Sub(entries) > maxWait+n.staleFraction(relayPauseFraction) {
-		return fleet.ProveWait
+		return fleet.ProofWait
 	}
 	return maxWait
 }
@@ -365,7 +365,7 @@
 	changes, err := n.followStoreOnce(timed, after, wait)
 	cancel()
 	if <-interrupted && err != nil && ctx.Err() == nil {
-		return n.followStoreOnce(ctx, after, fleet.ProveWait)
+		return n.followStoreOnce(ctx, after, fleet.ProofWait)
 	}
 	return changes, err
 }
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -18,7 +18,7 @@
 	InFlight func() map[string]int
 	// Progress returns the groups whose running streams recently stopped making progress, and
 	// those whose streams deliver events.
-	Progress func(now time.Time) (stalled, active []fleet.Key)
+	Progress func(now time.Time) (stalled, active []fleet.GroupKey)
 	// Stops is signalled when a running stream stops making progress.
 	Stops <-chan struct{}
 	// Loaded is called with what all other daemons reported.
--- a/internal/relay/share_messages.go
+++ b/internal/relay/share_messages.go
@@ -61,7 +61,7 @@
 	Epoch uint64 `json:"epoch"`
 }
 
-func toRefs(keys []fleet.Key) []groupRef {
+func toRefs(keys []fleet.GroupKey) []groupRef {
 	out := make([]groupRef, 0, len(keys))
 	for _, k := range keys {
 		out = append(out, groupRef{k.Name, k.Epoch})
@@ -69,10 +69,10 @@
 	return out
 }
 
-func toSet(refs []groupRef) map[fleet.Key]bool {
-	out := make(map[fleet.Key]bool, len(refs))
+func toSet(refs []groupRef) map[fleet.GroupKey]bool {
+	out := make(map[fleet.GroupKey]bool, len(refs))
 	for _, r := range refs {
-		out[fleet.Key{Name: r.Name, Epoch: r.Epoch}] = true
+		out[fleet.GroupKey{Name: r.Name, Epoch: r.Epoch}] = true
 	}
 	return out
 }
--- a/internal/relay/share_test.go
+++ b/internal/relay/share_test.go
@@ -120,17 +120,17 @@
 // report alone is not enough, and one daemon that receives events outweighs all reports.
 func TestStalledGroupsAreAnnounced(t *testing.T) {
 	z, relay, a, b := zoneWithRelay(t)
-	group := fleet.Key{Name: "g", Epoch: 3}
-	a.stalledGroups = []fleet.Key{group}
+	group := fleet.GroupKey{Name: "g", Epoch: 3}
+	a.stalledGroups = []fleet.GroupKey{group}
 	z.exchangeAll()
 	z.exchangeAll()
 	must.MapEmpty(t, b.stalledForAll)
-	relay.stalledGroups = []fleet.Key{group}
+	relay.stalledGroups = []fleet.GroupKey{group}
 	z.exchangeAll()
 	z.exchangeAll()
-	must.Eq(t, map[fleet.Key]bool{group: true}, b.stalledForAll)
+	must.Eq(t, map[fleet.GroupKey]bool{group: true}, b.stalledForAll)
 	must.Eq(t, b.stalledForAll, relay.stalledForAll)
-	b.activeGroups = []fleet.Key{group}
+	b.activeGroups = []fleet.GroupKey{group}
 	z.exchangeAll()
 	z.exchangeAll()
 	must.MapEmpty(t, a.stalledForAll)
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -66,10 +66,10 @@
 	spareRetries     map[string]float64
 	inFlight         map[string]int
 	othersInFlight   map[string]int
-	stalledGroups    []fleet.Key
-	activeGroups     []fleet.Key
-	stalledForAll    map[fleet.Key]bool // groups announced as stalled
-	reportingDaemons int                // daemons that reported loads
+	stalledGroups    []fleet.GroupKey
+	activeGroups     []fleet.GroupKey
+	stalledForAll    map[fleet.GroupKey]bool // groups announced as stalled
+	reportingDaemons int                     // daemons that reported loads
 	// The configuration as confirmed by other daemons.
 	configVersion  uint64
 	configProvedAt time.Time
@@ -107,7 +107,7 @@
 				return spare
 			},
 			InFlight: func() map[string]int { return d.inFlight },
-			Progress: func(time.Time) (stalled, active []fleet.Key) { return d.stalledGroups, d.activeGroups },
+			Progress: func(time.Time) (stalled, active []fleet.GroupKey) { return d.stalledGroups, d.activeGroups },
 			Loaded: func(others dispatch.PeerReports, _ time.Time) {
 				d.othersInFlight, d.stalledForAll, d.reportingDaemons = others.InFlight, others.StalledGroups, others.Daemons
 			},
