--- a/internal/formation/incarnation_test.go
+++ b/internal/formation/incarnation_test.go
@@ -74,7 +74,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if in.StartedAt != p.startedAt {
-		return ErrAnotherLife
+		return ErrOtherIncarnation
 	}
 	return nil
 }
--- a/internal/formation/lease.go
+++ b/internal/formation/lease.go
@@ -77,8 +77,8 @@
 	holderSeen       bool            // the record names a holder
 }
 
-// Held returns the term if this daemon holds the lease at now, otherwise 0.
-func (l *Lease) Held(now time.Time) uint64 {
+// Term returns the term if this daemon holds the lease at now, otherwise 0.
+func (l *Lease) Term(now time.Time) uint64 {
 	s := l.state.Load()
 	if s == nil || s.term == 0 || now.Sub(s.renewedAt) >= leaseTTL {
 		return 0
--- a/internal/formation/lease_test.go
+++ b/internal/formation/lease_test.go
@@ -46,7 +46,7 @@
 	store := &singleObjectStore{}
 	first, second := newLease(store, "first"), newLease(store, "second")
 	first.Step(t.Context())
-	must.Positive(t, first.Held(time.Now()))
+	must.Positive(t, first.Term(time.Now()))
 	first.NoteResend("e1", time.Now())
 	must.False(t, first.ResendRecorded("e1"), must.Sprint("not in the record yet"))
 	first.Step(t.Context())
@@ -54,7 +54,7 @@
 	must.False(t, first.ResendRecorded("e2"))
 	first.Release(t.Context())
 	second.Step(t.Context())
-	must.Positive(t, second.Held(time.Now()))
+	must.Positive(t, second.Term(time.Now()))
 	must.Eq(t, map[string]bool{"e1": true}, second.InheritedResends())
 	second.Step(t.Context()) // its own record still lists the instance
 	third := newLease(store, "third")
@@ -68,7 +68,7 @@
 func TestTermEndsBeforeItsEpochsRunOut(t *testing.T) {
 	l := newLease(&singleObjectStore{}, "h")
 	l.Step(t.Context())
-	term := l.Held(time.Now())
+	term := l.Term(time.Now())
 	p := NewPlanner(simService, term, nil, start)
 	var last uint64
 	for !p.Exhausted() {
@@ -76,7 +76,7 @@
 	}
 	l.Abandon()
 	l.Step(t.Context())
-	next := l.Held(time.Now())
+	next := l.Term(time.Now())
 	must.Greater(t, term, next)
 	must.Greater(t, last, NewPlanner(simService, next, nil, start).nextEpoch())
 }
--- a/internal/formation/manager.go
+++ b/internal/formation/manager.go
@@ -14,45 +14,45 @@
 	"pearlanding/internal/steady"
 )
 
-// Orders sends orders to instances.
-type Orders interface {
+// OrderSender sends orders to instances.
+type OrderSender interface {
 	// Send sends one order. The error explains an outcome other than Taken.
 	Send(ctx context.Context, o Order) (Outcome, error)
 }
 
 // Manager runs the planners of all model services while this daemon holds the lease.
 type Manager struct {
-	Clock    *steady.Clock    // nil: this machine's clock
-	RunClock *steady.RunClock // measures probe timeouts; nil: one over this machine's clock
-	Lease    *Lease
-	Orders   Orders
-	View     func() *fleet.View
-	Changed  <-chan struct{} // signaled after the view changed
-	// Proved returns when the call was sent that last confirmed the view as current.
+	Clock       *steady.Clock    // nil: this machine's clock
+	RunClock    *steady.RunClock // measures probe timeouts; nil: one over this machine's clock
+	Lease       *Lease
+	Orders      OrderSender
+	View        func() *fleet.View
+	ViewChanged <-chan struct{} // signaled after the view changed
+	// ViewConfirmedAt returns when the call was sent that last confirmed the view as current.
 	// Refresh requests a full listing.
-	Proved  func() time.Time
-	Refresh func()
-	Table   func() *routes.Table
-	Prober  Prober
-	// Idle reports whether this daemon has received no request yet. Window is the period
+	ViewConfirmedAt func() time.Time
+	RefreshView     func()
+	RoutingTable    func() *routes.Table
+	Prober          Prober
+	// BeforeFirstRequest reports whether this daemon has received no request yet. Window is the period
 	// over which loads from the weight store are limited.
-	Idle   func() bool
-	Window func() time.Duration
-	// Serving reports whether this daemon relays the instances to the other daemons of its
+	BeforeFirstRequest func() bool
+	LoadWindow         func() time.Duration
+	// IsRelay reports whether this daemon relays the instances to the other daemons of its
 	// zone. Relays, one in each zone, check the lease most often. nil: it is no relay.
-	Serving func() bool
-	// Relayed reports whether this daemon follows the instances through a relay, which
+	IsRelay func() bool
+	// UsesRelay reports whether this daemon follows the instances through a relay, which
 	// then also checks for neglected work. nil: it does not.
-	Relayed func() bool
-	// FirstLook is the delay from the start of Run to the first check of the lease. By then
+	UsesRelay func() bool
+	// FirstLeaseCheckDelay is the delay from the start of Run to the first check of the lease. By then
 	// a daemon knows whether it follows through a relay.
-	FirstLook time.Duration
-	// Still returns the ids of group heads with stalled streams or recently failed requests, at
+	FirstLeaseCheckDelay time.Duration
+	// Suspects returns the ids of group heads with stalled streams or recently failed requests, at
 	// this daemon or at others as far as it knows.
-	Still func(now time.Time) []string
-	// Stopped is signaled when there may be more such heads; nil: plans find them later.
-	Stopped <-chan struct{}
-	Log     *zap.Logger
+	Suspects func(now time.Time) []string
+	// SuspectsChanged is signaled when there may be more such heads; nil: plans find them later.
+	SuspectsChanged <-chan struct{}
+	Log             *zap.Logger
 	// Metrics receives the counters of orders, loads and groups.
 	Metrics *metrics.Set
 
@@ -113,8 +113,8 @@
 			if !m.recordResults(r, m.Clock.Now()) {
 				continue
 			}
-		case <-m.Changed:
-		case <-m.Stopped:
+		case <-m.ViewChanged:
+		case <-m.SuspectsChanged:
 		case <-m.detector.detected:
 			pause.For(ctx, deathBatchDelay)
 		case <-tick.C:
@@ -128,15 +128,15 @@
 // each check is a call to the store, and there may be hundreds of daemons.
 func (m *Manager) keepLease(ctx context.Context, acquired chan<- struct{}, released chan<- struct{}) {
 	defer close(released)
-	pause.For(ctx, m.FirstLook)
+	pause.For(ctx, m.FirstLeaseCheckDelay)
 	lastCheck := m.Clock.Now()
 	for ctx.Err() == nil {
 		now := m.Clock.Now()
-		held := m.Lease.Held(now) != 0
+		held := m.Lease.Term(now) != 0
 		if held || m.shouldCheckLease(lastCheck, now) {
 			lastCheck = now
 			m.Lease.Step(ctx)
-			if !held && m.Lease.Held(m.Clock.Now()) != 0 {
+			if !held && m.Lease.Term(m.Clock.Now()) != 0 {
 				acquired <- struct{}{}
 			}
 		}
@@ -176,7 +176,7 @@
 
 func (m *Manager) leaseCheckInterval() time.Duration {
 	switch {
-	case m.Serving != nil && m.Serving():
+	case m.IsRelay != nil && m.IsRelay():
 		return relayCheckInterval
 	case m.usesRelay():
 		return relayedCheckInterval
@@ -184,7 +184,7 @@
 	return checkInterval
 }
 
-func (m *Manager) usesRelay() bool { return m.Relayed != nil && m.Relayed() }
+func (m *Manager) usesRelay() bool { return m.UsesRelay != nil && m.UsesRelay() }
 
 // pendingInput is all that hasPendingWork depends on besides the time.
 type pendingInput struct {
@@ -235,15 +235,15 @@
 // viewCurrent reports whether the view was confirmed within maxViewAge and after the term
 // began, so that it shows all that the previous holder did.
 func (m *Manager) viewCurrent(now time.Time) bool {
-	confirmedAt := m.Proved()
+	confirmedAt := m.ViewConfirmedAt()
 	return confirmedAt.After(m.termStart) && now.Sub(confirmedAt) < maxViewAge
 }
 
 // plan runs the planners of all model services and sends their orders, if this daemon holds the
 // lease. Otherwise it checks for neglected work.
 func (m *Manager) plan(ctx context.Context, now time.Time) {
-	term := m.Lease.Held(now)
-	view, table := m.View(), m.Table()
+	term := m.Lease.Term(now)
+	view, table := m.View(), m.RoutingTable()
 	if view == nil || table == nil {
 		return
 	}
@@ -260,14 +260,14 @@
 	}
 	if term != m.term {
 		m.term, m.planners, m.termStart = term, map[string]*Planner{}, now
-		m.Refresh()
+		m.RefreshView()
 	}
 	if !m.viewCurrent(now) {
 		return
 	}
 	m.counts.observeView(view, now)
 	defer m.observePlan(now)
-	m.detector.startProbes(ctx, view, m.Still(now), now)
+	m.detector.startProbes(ctx, view, m.Suspects(now), now)
 	view = m.detector.excludeDead(view, table.ModelSize)
 	for i := range table.Config.Services {
 		s := &table.Config.Services[i]
@@ -279,7 +279,7 @@
 			p = NewPlanner(s.Name, term, m.Lease.InheritedResends(), now)
 			m.planners[s.Name] = p
 		}
-		p.MayResend, p.BeforeFirstRequest, p.LoadWindow = m.Lease.ResendRecorded, m.Idle(), m.Window()
+		p.MayResend, p.BeforeFirstRequest, p.LoadWindow = m.Lease.ResendRecorded, m.BeforeFirstRequest(), m.LoadWindow()
 		for _, o := range p.Plan(view, s.Engine, now) {
 			go m.sendOrder(ctx, s.Name, term, o, view.Revision)
 		}
@@ -345,8 +345,8 @@
 func (m *Manager) sendOrder(ctx context.Context, service string, term uint64, o Order, revision uint64) {
 	fields := []zap.Field{zap.String("op", string(o.Op)), zap.String("instance", o.Instance), zap.String("group", o.Group.Name),
 		zap.Uint64("epoch", o.Group.Epoch), zap.Strings("members", o.Members), zap.String("reason", o.Reason),
-		zap.Uint64("term", m.Lease.Held(m.Clock.Now())), zap.Uint64("view_revision", revision)}
-	if m.Lease.Held(m.Clock.Now()) == 0 {
+		zap.Uint64("term", m.Lease.Term(m.Clock.Now())), zap.Uint64("view_revision", revision)}
+	if m.Lease.Term(m.Clock.Now()) == 0 {
 		m.Log.Info("order not sent: lease not held", fields...)
 		return
 	}
--- a/internal/formation/manager_test.go
+++ b/internal/formation/manager_test.go
@@ -22,7 +22,7 @@
 		"long ago":        {began.Add(time.Millisecond), began.Add(maxViewAge + time.Second), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := &Manager{termStart: began, Proved: func() time.Time { return c.confirmedAt }}
+			m := &Manager{termStart: began, ViewConfirmedAt: func() time.Time { return c.confirmedAt }}
 			must.Eq(t, c.current, m.viewCurrent(c.now))
 		})
 	}
@@ -45,7 +45,7 @@
 		"relayed, last check long ago": {true, false, relayedCheckInterval + 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := &Manager{Lease: &Lease{}, Relayed: func() bool { return c.relayed }}
+			m := &Manager{Lease: &Lease{}, UsesRelay: func() bool { return c.relayed }}
 			m.Lease.state.Store(&leaseState{holderSeen: true})
 			m.neglected.Store(c.neglected)
 			must.Eq(t, c.checks, m.shouldCheckLease(now.Add(-c.since), now))
@@ -61,7 +61,7 @@
 	view := benchView(300, 300, engine)
 	view.Instances["i-00000"].Draining = true // its group must close
 	relayed := true
-	m := &Manager{Relayed: func() bool { return relayed }}
+	m := &Manager{UsesRelay: func() bool { return relayed }}
 	for range 3 {
 		m.checkNeglected(view, table, now)
 		now = now.Add(neglectAfter)
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -12,8 +12,8 @@
 	"pearlanding/internal/steady"
 )
 
-// ErrAnotherLife means that a later incarnation of the instance answers under its id.
-const ErrAnotherLife = errors.ConstError("formation: another incarnation answers under the instance id")
+// ErrOtherIncarnation means that a later incarnation of the instance answers under its id.
+const ErrOtherIncarnation = errors.ConstError("formation: another incarnation answers under the instance id")
 
 // Prober checks whether instances are alive.
 type Prober interface {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -44,7 +44,7 @@
 	Codec          gateway.Codec
 	// Orders returns the senders of orders and of probes to instances. They pass the signals in
 	// the answers to the function given.
-	Orders func(*upstream.Pool, Hear) (formation.Orders, formation.Prober)
+	Orders func(*upstream.Pool, Hear) (formation.OrderSender, formation.Prober)
 }
 
 // Hear receives the backpressure signals that an instance sent in an answer to an order or a
@@ -282,13 +282,13 @@
 	orders, prober := d.Outside.Orders(d.pool, d.observeSignals)
 	return &formation.Manager{
 		Clock: d.Clock, RunClock: d.runClock,
-		Lease: d.lease, Orders: orders, Prober: prober, Still: d.stalledHeads, Stopped: d.stallFound,
-		View: d.instances.View, Changed: d.instances.Changed(), Proved: d.instances.ProvedAt, Refresh: d.instances.Refresh, Table: d.config.Table,
-		Idle:    d.gateway.Idle,
-		Relayed: func() bool { return d.followMode() == followRelayed },
-		Serving: func() bool { return d.followMode() == followAsRelay },
-		Window:  func() time.Duration { return d.Settings().Bounds.CeilingWindow },
-		FirstLook: func() time.Duration {
+		Lease: d.lease, Orders: orders, Prober: prober, Suspects: d.stalledHeads, SuspectsChanged: d.stallFound,
+		View: d.instances.View, ViewChanged: d.instances.Changed(), ViewConfirmedAt: d.instances.ProvedAt, RefreshView: d.instances.Refresh, RoutingTable: d.config.Table,
+		BeforeFirstRequest: d.gateway.Idle,
+		UsesRelay:          func() bool { return d.followMode() == followRelayed },
+		IsRelay:            func() bool { return d.followMode() == followAsRelay },
+		LoadWindow:         func() time.Duration { return d.Settings().Bounds.CeilingWindow },
+		FirstLeaseCheckDelay: func() time.Duration {
 			if d.relay == nil {
 				return 0
 			}
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -182,7 +182,7 @@
 }
 
 // planning reports whether this daemon forms the groups.
-func (d *Daemon) planning() bool { return d.lease.Held(d.Clock.Now()) != 0 }
+func (d *Daemon) planning() bool { return d.lease.Term(d.Clock.Now()) != 0 }
 
 // updatePause returns how long this daemon pauses after changes of instances.
 func (d *Daemon) updatePause() time.Duration {
