--- a/cmd/pearlanding/refused.go
+++ b/cmd/pearlanding/refused.go
@@ -32,7 +32,7 @@
 }
 
 func listRefused(ctx context.Context, store string, asJSON bool) int {
-	s, err := quarantine.List(ctx, platform.NewStore(store), front.RefusedKey)
+	s, err := quarantine.List(ctx, platform.NewStore(store), front.RefusedRequestsKey)
 	if err != nil {
 		return fail(err)
 	}
@@ -64,7 +64,7 @@
 }
 
 func releaseRefused(ctx context.Context, store, prefix string) int {
-	d, err := quarantine.Release(ctx, platform.NewStore(store), front.RefusedKey, prefix, time.Now())
+	d, err := quarantine.Release(ctx, platform.NewStore(store), front.RefusedRequestsKey, prefix, time.Now())
 	switch {
 	case errors.Is(err, objectapi.ErrConflict):
 		fmt.Fprintln(os.Stderr, "daemons kept changing the record; nothing was changed, try again")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,7 @@
 // Package front assembles one daemon that serves opaque requests on a foreign
 // platform: it follows the configuration and the instances in an object store,
 // serves callers through package gateway, and takes part in forming groups. The
-// platform itself is reached through the functions and interfaces of Outside.
+// platform itself is reached through the functions and interfaces of Platform.
 package front
 
 import (
@@ -33,8 +33,8 @@
 	"pearlanding/internal/upstream"
 )
 
-// Outside is everything that the daemon needs from the platform it runs on.
-type Outside struct {
+// Platform is everything that the daemon needs from the platform it runs on.
+type Platform struct {
 	Feed           objectapi.Feed
 	ConfigKey      string
 	InstancesKind  string
@@ -44,22 +44,22 @@
 	Codec          gateway.Codec
 	// Orders returns the senders of orders and of probes to instances. They pass the signals in
 	// the answers to the function given.
-	Orders func(*upstream.Pool, Hear) (formation.OrderSender, formation.Prober)
+	Orders func(*upstream.Pool, SignalHandler) (formation.OrderSender, formation.Prober)
 }
 
-// Hear receives the backpressure signals that an instance sent in an answer to an order or a
+// SignalHandler receives the backpressure signals that an instance sent in an answer to an order or a
 // probe.
-type Hear func(instance string, s backpressure.Signals)
+type SignalHandler func(instance string, s backpressure.Signals)
 
 // Objects in the store that the daemons own.
 const (
 	// leaseKey holds the lease of the daemon that plans groups.
 	leaseKey = "pearlanding-leases/groups"
-	// relayKind holds the record of each zone's relay, by the zone's name, and RefusedKey: a
+	// relayKind holds the record of each zone's relay, by the zone's name, and RefusedRequestsKey: a
 	// daemon that looks for its relay reads both in one call.
 	relayKind = "pearlanding-relays"
-	// RefusedKey holds the requests that are refused because they crashed instances.
-	RefusedKey = relayKind + "/refused-requests"
+	// RefusedRequestsKey holds the requests that are refused because they crashed instances.
+	RefusedRequestsKey = relayKind + "/refused-requests"
 )
 
 // Limits and intervals of the daemon.
@@ -99,7 +99,7 @@
 // Daemon is one running process.
 type Daemon struct {
 	Settings func() Settings
-	Outside  Outside
+	Platform Platform
 	Log      *zap.Logger
 	Metrics  *metrics.Set
 	// Clock is the daemon's clock; nil: a new clock of this machine.
@@ -150,11 +150,11 @@
 	d.startedAt = d.Clock.Now()
 	peerListener := d.listenForPeers(&s)
 	d.build(s, holder)
-	callerListener, err := net.Listen("tcp", s.Callers)
+	callerListener, err := net.Listen("tcp", s.CallerAddress)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	readinessListener, err := net.Listen("tcp", s.Readiness)
+	readinessListener, err := net.Listen("tcp", s.ReadinessAddress)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -170,7 +170,7 @@
 		defer d.peers.Close()
 	}
 	wait := d.startLoops(ctx, work)
-	d.Log.Info("started", zap.String("node", s.Node), zap.String("zone", s.Zone), zap.String("callers", s.Callers))
+	d.Log.Info("started", zap.String("node", s.Node), zap.String("zone", s.Zone), zap.String("callers", s.CallerAddress))
 	<-ctx.Done()
 	d.stop(server)
 	cancel()
@@ -187,12 +187,12 @@
 	d.runClock = steady.NewRunClock(d.Clock)
 	state := fleet.NewKnownState(s.Heartbeat, d.modelSize)
 	state.LapsedHeadGrace = d.drainShare(headGraceShare, 0)
-	d.calls = newCountedFeed(d.Outside.Feed, d.Outside.ConfigKey, state.Reachability(), d.Metrics, d.Log)
+	d.calls = newCountedFeed(d.Platform.Feed, d.Platform.ConfigKey, state.Reachability(), d.Metrics, d.Log)
 	d.calls.clock = d.Clock
-	d.Outside.Feed = d.calls
-	d.config = &configFollower{clock: d.Clock, feed: d.Outside.Feed, key: d.Outside.ConfigKey, decode: d.Outside.DecodeConfig, log: d.Log,
+	d.Platform.Feed = d.calls
+	d.config = &configFollower{clock: d.Clock, feed: d.Platform.Feed, key: d.Platform.ConfigKey, decode: d.Platform.DecodeConfig, log: d.Log,
 		bounds: func() Bounds { return d.Settings().Bounds }, confirmations: make(chan confirmation, 1), recovered: make(chan struct{}, 1), maxProbeInterval: d.maxProbeInterval}
-	d.lease = &formation.Lease{Clock: d.Clock, Feed: d.Outside.Feed, Key: leaseKey, Holder: holder, Log: d.Log}
+	d.lease = &formation.Lease{Clock: d.Clock, Feed: d.Platform.Feed, Key: leaseKey, Holder: holder, Log: d.Log}
 	d.config.planning = d.planning
 	d.picker = dispatch.NewPicker(s.Zone, rand.IntN)
 	d.pool = upstream.NewPool(connectTimeout, idleConnTimeout)
@@ -201,15 +201,15 @@
 	d.gate = backpressure.NewGate(func() int { return int(d.loadReporters.Load()) }, d.uniform, d.Log)
 	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_limited", func() float64 { return float64(len(d.gate.Limited())) })
 	d.Metrics.GetOrCreateGauge("pearlanding_upstreams_resting", func() float64 { return float64(d.gate.BackoffCount(d.Clock.Now())) })
-	entries := d.Outside.Feed
-	if s.Peers != "" {
+	entries := d.Platform.Feed
+	if s.PeerAddress != "" {
 		d.relay = d.newRelay(s, holder)
 		entries, d.config.onRead, d.config.serving, d.config.hasRelay = d.relay, d.relay.NoteConfig, d.relay.Serving, d.relay.Relayed
 		if s.Bootstrap {
 			d.config.startWait = bootstrapWait
 		}
 	}
-	d.instances = fleet.NewFollower(entries, d.Outside.InstancesKind, d.Outside.DecodeInstance, state, d.Log)
+	d.instances = fleet.NewFollower(entries, d.Platform.InstancesKind, d.Platform.DecodeInstance, state, d.Log)
 	d.instances.Clock = d.Clock
 	d.config.changed = d.instances.SizesChanged
 	d.Metrics.GetOrCreateGauge("pearlanding_config_proof_age_seconds", func() float64 { return d.Clock.Since(d.config.Current().Proved).Seconds() })
@@ -279,7 +279,7 @@
 }
 
 func (d *Daemon) newManager() *formation.Manager {
-	orders, prober := d.Outside.Orders(d.pool, d.observeSignals)
+	orders, prober := d.Platform.Orders(d.pool, d.observeSignals)
 	return &formation.Manager{
 		Clock: d.Clock, RunClock: d.runClock,
 		Lease: d.lease, Orders: orders, Prober: prober, Suspects: d.stalledHeads, SuspectsChanged: d.stallFound,
@@ -313,7 +313,7 @@
 
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return &gateway.Gateway{
-		Codec: d.Outside.Codec, Config: d.config.Current, View: d.instances.View, Bounds: d.bounds,
+		Codec: d.Platform.Codec, Config: d.config.Current, View: d.instances.View, Bounds: d.bounds,
 		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Watch: d.watch, Gate: d.gate, Clock: d.Clock, RunClock: d.runClock, Borrow: d.borrow, MayBorrow: d.mayBorrow, Starting: d.startingUp, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
 	}
 }
@@ -356,7 +356,7 @@
 
 func (d *Daemon) readinessServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+d.Outside.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+d.Platform.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !d.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -158,7 +158,7 @@
 // injectFault injects one fault, chosen at random.
 func (j *leavingChecker) injectFault() {
 	relay, n := j.relay(), len(j.zone.daemons)
-	address := j.zone.daemons[relay].Settings().Peers
+	address := j.zone.daemons[relay].Settings().PeerAddress
 	switch j.rng.IntN(4) {
 	case 0: // the relay's process is killed
 		j.kill(relay)
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -73,13 +73,13 @@
 // listenForPeers listens on the address for other daemons. If that fails, the daemon runs
 // without the address: this costs calls to the store, but no service.
 func (d *Daemon) listenForPeers(s *Settings) net.Listener {
-	if s.Peers == "" {
+	if s.PeerAddress == "" {
 		return nil
 	}
-	l, err := net.Listen("tcp", s.Peers)
+	l, err := net.Listen("tcp", s.PeerAddress)
 	if err != nil {
 		d.Log.Error("no address for peers", zap.String("decision", "follow_the_store"), zap.Error(err))
-		s.Peers = ""
+		s.PeerAddress = ""
 		return nil
 	}
 	return l
@@ -93,12 +93,12 @@
 	}
 	d.stallFound = make(chan struct{}, 1)
 	d.survey = &relay.Survey{Ask: d.peers.Standing, Active: d.planning, Now: d.Clock.Now, News: d.stallFound, Relays: func(ctx context.Context) ([]string, error) {
-		l, err := d.Outside.Feed.ListKind(ctx, relayKind)
+		l, err := d.Platform.Feed.ListKind(ctx, relayKind)
 		return relay.Addresses(l), err
 	}}
 	return relay.NewNode(relay.Options{
 		Traffic: relay.Traffic{Spare: d.budgets.TakeSpareRetries, InFlight: d.picker.InFlight, Progress: d.progress, Stops: d.picker.Stalls(), Loaded: d.takeLoads, Rule: d.poolRule},
-		Store:   d.Outside.Feed, Kind: d.Outside.InstancesKind, Key: relayKind + "/" + s.Zone, Holder: holder, Address: s.Peers, LinkMbps: s.LinkMbps,
+		Store:   d.Platform.Feed, Kind: d.Platform.InstancesKind, Key: relayKind + "/" + s.Zone, Holder: holder, Address: s.PeerAddress, LinkMbps: s.LinkMbps,
 		Peers: d.peers, Direct: d.planning, Confirm: d.config.confirm, Returned: d.config.storeRecovered,
 		Stale:     func() time.Duration { return d.drainShare(staleShare, defaultStaleAfter) },
 		Standing:  d.stalledOrEndedHeads,
@@ -131,7 +131,7 @@
 // relays, it exchanges them with the relays of the other zones.
 func (d *Daemon) newExchange() *relay.Exchange {
 	return &relay.Exchange{Node: d.relay, List: func(ctx context.Context) (objectapi.Listing, error) {
-		return d.Outside.Feed.ListStale(ctx, relayKind)
+		return d.Platform.Feed.ListStale(ctx, relayKind)
 	}}
 }
 
@@ -139,7 +139,7 @@
 // other daemons.
 func (d *Daemon) newSpread() *relay.Spread {
 	return &relay.Spread{Node: d.relay, List: func(ctx context.Context) (objectapi.Listing, error) {
-		return d.Outside.Feed.ListKind(ctx, relayKind)
+		return d.Platform.Feed.ListKind(ctx, relayKind)
 	}}
 }
 
--- a/internal/front/quarantine.go
+++ b/internal/front/quarantine.go
@@ -15,7 +15,7 @@
 	evidence := quarantine.NewEvidence()
 	d.watch = quarantine.NewWatch(evidence, d.pool.Probe, d.Clock.Now, d.Log)
 	d.keeper = &quarantine.Keeper{
-		Feed: d.Outside.Feed, Key: RefusedKey, Watch: d.watch, Alone: s.Peers == "",
+		Feed: d.Platform.Feed, Key: RefusedRequestsKey, Watch: d.watch, Alone: s.PeerAddress == "",
 		Writes:  func() bool { return d.relay == nil || d.relay.Holding() || d.relay.Unheard() },
 		Uniform: d.uniform, Wall: d.Clock.Now, Log: d.Log, Kick: make(chan struct{}, 1),
 	}
@@ -27,7 +27,7 @@
 // takeRelayListing takes the record of refused requests from a listing of the relays' kind.
 func (d *Daemon) takeRelayListing(l objectapi.Listing) {
 	d.refusedLoaded.Store(true)
-	i := slices.IndexFunc(l.Objects, func(o objectapi.Object) bool { return o.Key == RefusedKey })
+	i := slices.IndexFunc(l.Objects, func(o objectapi.Object) bool { return o.Key == RefusedRequestsKey })
 	if i < 0 {
 		return
 	}
--- a/internal/front/recovery_test.go
+++ b/internal/front/recovery_test.go
@@ -187,9 +187,9 @@
 	daemon := j.zone.daemons[int(between(0, time.Duration(len(j.zone.daemons))))].Settings().Node
 	switch kind {
 	case 0: // an outage of the store, and before it an unreachable relay
-		j.zone.net.setBlocked(relay.Settings().Peers, true)
+		j.zone.net.setBlocked(relay.Settings().PeerAddress, true)
 		j.run(between(0, 2*time.Second))
-		j.zone.net.setBlocked(relay.Settings().Peers, false)
+		j.zone.net.setBlocked(relay.Settings().PeerAddress, false)
 		j.run(between(0, 2*time.Second))
 		j.setStoreDown(true)
 		j.run(between(time.Second, 8*time.Second))
@@ -209,10 +209,10 @@
 	case 3: // the relay is unreachable when the store recovers
 		j.setStoreDown(true)
 		j.run(between(time.Second, 8*time.Second))
-		j.zone.net.setBlocked(relay.Settings().Peers, true)
+		j.zone.net.setBlocked(relay.Settings().PeerAddress, true)
 		j.setStoreDown(false)
 		j.run(between(0, time.Second))
-		defer j.zone.net.setBlocked(relay.Settings().Peers, false)
+		defer j.zone.net.setBlocked(relay.Settings().PeerAddress, false)
 	}
 	for range 1 + int(between(0, 4)) {
 		j.writeConfig()
--- a/internal/front/settings.go
+++ b/internal/front/settings.go
@@ -6,20 +6,20 @@
 // daemon fills it from the deployment's settings file; a zero bound means that the deployment sets
 // none.
 type Settings struct {
-	Node      string
-	Zone      string
-	Zones     int // number of failure domains in which daemons run
-	IP        string
-	Bootstrap bool   // all daemons start for the first time, together
-	Callers   string // address that serves callers
-	Readiness string // address of the readiness check
-	Peers     string // address that serves other daemons; empty: not served
-	Store     Store
-	Heartbeat time.Duration // between the writes of an instance's own entry
-	MaxFiles  int           // limit on the process's file descriptors
-	MemoryMB  int           // memory that the process may use
-	LinkMbps  float64       // rate of the machine's link in Mbit/s
-	Bounds    Bounds
+	Node             string
+	Zone             string
+	Zones            int // number of failure domains in which daemons run
+	IP               string
+	Bootstrap        bool   // all daemons start for the first time, together
+	CallerAddress    string // address that serves callers
+	ReadinessAddress string // address of the readiness check
+	PeerAddress      string // address that serves other daemons; empty: not served
+	Store            Store
+	Heartbeat        time.Duration // between the writes of an instance's own entry
+	MaxFiles         int           // limit on the process's file descriptors
+	MemoryMB         int           // memory that the process may use
+	LinkMbps         float64       // rate of the machine's link in Mbit/s
+	Bounds           Bounds
 }
 
 // Store is the address of the object store and the rates that all daemons together may use.
@@ -37,7 +37,7 @@
 	Drain          time.Duration // until a leaving instance gets no more requests
 	Grace          time.Duration // from the stop signal until the kill
 	Stall          time.Duration // until a group that lost a member is broken
-	Pass           time.Duration // until an event is forwarded
+	Forward        time.Duration // until an event is forwarded
 	RetryRatio     float64       // repeats allowed per request
 	RetryWindow    time.Duration // window of RetryRatio and RetryExtra
 	RetryExtra     float64       // repeats that all daemons may make in a window beyond the ratio
--- a/internal/front/start_test.go
+++ b/internal/front/start_test.go
@@ -69,7 +69,7 @@
 func (b *massRestart) killAll(restarts func(i int) bool) {
 	for i := range b.zone.daemons {
 		b.zone.kill(i)
-		b.zone.net.closeConns(b.zone.daemons[i].Settings().Peers)
+		b.zone.net.closeConns(b.zone.daemons[i].Settings().PeerAddress)
 	}
 	time.Sleep(restartDelay)
 	b.startedAt, b.knownAfter = make([]time.Time, bigZoneDaemons), make([]time.Duration, bigZoneDaemons)
--- a/internal/front/zone_test.go
+++ b/internal/front/zone_test.go
@@ -55,20 +55,20 @@
 	d := z.daemons[i]
 	z.cancels[d]()
 	d.peers.Close()
-	z.net.closeConns(d.Settings().Peers)
+	z.net.closeConns(d.Settings().PeerAddress)
 }
 
 func (z *simZone) start(ctx context.Context, name string, seed uint64, bootstrap bool) *Daemon {
 	ctx, end := context.WithCancel(ctx)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
-	s := Settings{Node: name, Zone: "zone", Zones: 1, Peers: name, Heartbeat: 1200 * time.Millisecond, Bounds: simBounds, Bootstrap: bootstrap}
+	s := Settings{Node: name, Zone: "zone", Zones: 1, PeerAddress: name, Heartbeat: 1200 * time.Millisecond, Bounds: simBounds, Bootstrap: bootstrap}
 	if z.mbps != nil {
 		s.LinkMbps = z.mbps(name)
 		z.net.setLink(name, s.LinkMbps)
 	}
 	d := &Daemon{Settings: func() Settings { return s }, Log: z.logger(name), Metrics: metrics.NewSet(), Clock: simClock(),
-		Outside: Outside{Feed: &simLink{z.store, name}, ConfigKey: simConfig, InstancesKind: simInstances,
+		Platform: Platform{Feed: &simLink{z.store, name}, ConfigKey: simConfig, InstancesKind: simInstances,
 			DecodeConfig: func(value []byte) (*routes.Config, error) {
 				c := &routes.Config{}
 				_, err := fmt.Sscan(string(value), &c.Version)
