--- a/internal/front/config.go
+++ b/internal/front/config.go
@@ -190,7 +190,7 @@
 	if f.maxProbeInterval != nil {
 		maxInterval = f.maxProbeInterval()
 	}
-	return f.schedule.due(f.version, f.Current().Proved, readPauses{renewAfter: f.interval(), noConfigPause: f.noConfigPause(), maxProbeInterval: maxInterval})
+	return f.schedule.due(f.version, f.Current().ProvedAt, readPauses{renewAfter: f.interval(), noConfigPause: f.noConfigPause(), maxProbeInterval: maxInterval})
 }
 
 // awaitFirstHint waits up to startWait for another daemon's confirmation, but not while peers
@@ -253,10 +253,10 @@
 // confirmation is of another version or not newer than the proof.
 func (f *configFollower) renewProof(c confirmation) bool {
 	current := f.Current()
-	if c.version != f.version || current.Table == nil || !c.provedAt.After(current.Proved) {
+	if c.version != f.version || current.Table == nil || !c.provedAt.After(current.ProvedAt) {
 		return false
 	}
-	f.current.Store(&gateway.Config{Table: current.Table, Proved: c.provedAt})
+	f.current.Store(&gateway.Config{Table: current.Table, ProvedAt: c.provedAt})
 	return true
 }
 
@@ -296,10 +296,10 @@
 	}
 	before := f.Current()
 	f.version = o.Version
-	f.current.Store(&gateway.Config{Table: routes.Compile(c), Proved: provedAt})
+	f.current.Store(&gateway.Config{Table: routes.Compile(c), ProvedAt: provedAt})
 	f.log.Info("configuration in force", zap.Uint64("object_version", o.Version), zap.Uint64("config_version", c.Version),
 		zap.String("source", string(source)), zap.Int64("proved_ms_ago", f.clock.Since(provedAt).Milliseconds()),
-		zap.Uint64("before", before.Version()), zap.Int64("before_proved_ms_ago", f.clock.Since(before.Proved).Milliseconds()),
+		zap.Uint64("before", before.Version()), zap.Int64("before_proved_ms_ago", f.clock.Since(before.ProvedAt).Milliseconds()),
 		zap.Int("routes", len(c.Routes)), zap.Int("workspaces", len(c.Workspaces)))
 	f.changed()
 }
--- a/internal/front/config_test.go
+++ b/internal/front/config_test.go
@@ -32,16 +32,16 @@
 	f.applyCurrentRead(object(5, "50"), nil, testStart)
 	f.applyCurrentRead(object(4, "40"), nil, testStart.Add(time.Second)) // an answer overtaken by a newer one
 	must.Eq(t, 50, f.Table().Config.Version)
-	must.Eq(t, testStart, f.Current().Proved)
+	must.Eq(t, testStart, f.Current().ProvedAt)
 }
 
 func TestProofCountsFromSendTimeOfRead(t *testing.T) {
 	f := newTestFollower()
 	f.applyCurrentRead(object(5, "50"), nil, testStart)
 	f.applyCurrentRead(object(5, "50"), nil, testStart.Add(3*time.Second))
-	must.Eq(t, testStart.Add(3*time.Second), f.Current().Proved)
+	must.Eq(t, testStart.Add(3*time.Second), f.Current().ProvedAt)
 	f.applyCurrentRead(objectapi.Object{}, errors.New("no answer"), testStart.Add(9*time.Second))
-	must.Eq(t, testStart.Add(3*time.Second), f.Current().Proved)
+	must.Eq(t, testStart.Add(3*time.Second), f.Current().ProvedAt)
 }
 
 func TestUndecodableConfigurationProvesNothing(t *testing.T) {
@@ -49,7 +49,7 @@
 	f.applyCurrentRead(object(5, "50"), nil, testStart)
 	f.applyCurrentRead(object(6, "what"), nil, testStart.Add(time.Second))
 	must.Eq(t, 50, f.Table().Config.Version)
-	must.Eq(t, testStart, f.Current().Proved)
+	must.Eq(t, testStart, f.Current().ProvedAt)
 }
 
 func TestNoConfigurationAfterNotFound(t *testing.T) {
@@ -74,13 +74,13 @@
 	must.Nil(t, f.Table())
 	f.applyCurrentRead(object(5, "50"), nil, testStart)
 	must.True(t, f.renewProof(confirmation{5, testStart.Add(time.Second)}))
-	must.Eq(t, testStart.Add(time.Second), f.Current().Proved)
+	must.Eq(t, testStart.Add(time.Second), f.Current().ProvedAt)
 	must.False(t, f.renewProof(confirmation{5, testStart}))
 	must.False(t, f.renewProof(confirmation{6, testStart.Add(2 * time.Second)}))
 	must.False(t, f.renewProof(confirmation{4, testStart.Add(2 * time.Second)}))
-	must.Eq(t, testStart.Add(time.Second), f.Current().Proved)
+	must.Eq(t, testStart.Add(time.Second), f.Current().ProvedAt)
 	f.applyCurrentRead(object(5, "50"), nil, testStart) // a read that was sent before the confirmation
-	must.Eq(t, testStart.Add(time.Second), f.Current().Proved)
+	must.Eq(t, testStart.Add(time.Second), f.Current().ProvedAt)
 }
 
 // A newer version that another daemon read is read at once, but not while the store does not
@@ -102,7 +102,7 @@
 	f.applyRead(readResult{err: errors.New("down")})
 	must.Eq(t, sentAt.Add(time.Second+minProbeInterval), f.due())
 	f.applyConfirmation(confirmation{5, sentAt.Add(2 * time.Second)}) // it proves the version in force
-	must.Eq(t, sentAt.Add(2*time.Second), f.Current().Proved)
+	must.Eq(t, sentAt.Add(2*time.Second), f.Current().ProvedAt)
 }
 
 // The backoff of unanswered reads grows to the allowed maximum and no further: the length of an
@@ -173,14 +173,14 @@
 	f.applyCurrentRead(object(5, "50"), nil, testStart)
 	f.applyRead(f.read(t.Context(), &confirmation{7, testStart.Add(time.Second)}))
 	must.Eq(t, 70, f.Table().Config.Version)
-	must.Eq(t, testStart.Add(time.Second), f.Current().Proved)
+	must.Eq(t, testStart.Add(time.Second), f.Current().ProvedAt)
 	must.Eq(t, 0, feed.gets)
 
 	feed.current = object(9, "90")
 	f.applyRead(f.read(t.Context(), &confirmation{9, testStart.Add(2 * time.Second)}))
 	must.Eq(t, 90, f.Table().Config.Version)
 	must.Eq(t, 1, feed.gets) // the stale read still showed version 7
-	must.True(t, f.Current().Proved.After(testStart.Add(2*time.Second)))
+	must.True(t, f.Current().ProvedAt.After(testStart.Add(2*time.Second)))
 }
 
 // A store that does not answer the stale read is not called again for a current one.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -212,7 +212,7 @@
 	d.instances = fleet.NewFollower(entries, d.Platform.InstancesKind, d.Platform.DecodeInstance, state, d.Log)
 	d.instances.Clock = d.Clock
 	d.config.changed = d.instances.SizesChanged
-	d.Metrics.GetOrCreateGauge("pearlanding_config_proof_age_seconds", func() float64 { return d.Clock.Since(d.config.Current().Proved).Seconds() })
+	d.Metrics.GetOrCreateGauge("pearlanding_config_proof_age_seconds", func() float64 { return d.Clock.Since(d.config.Current().ProvedAt).Seconds() })
 	d.Metrics.GetOrCreateGauge("pearlanding_config_version", func() float64 { return float64(d.config.Current().Version()) })
 	d.Metrics.GetOrCreateGauge("pearlanding_store_absent_seconds", d.outageSeconds)
 	d.Metrics.GetOrCreateGauge("pearlanding_suspended_seconds", func() float64 { return d.Clock.Suspended().Seconds() })
@@ -284,7 +284,7 @@
 		Clock: d.Clock, RunClock: d.runClock,
 		Lease: d.lease, Orders: orders, Prober: prober, Suspects: d.stalledHeads, SuspectsChanged: d.stallFound,
 		View: d.instances.View, ViewChanged: d.instances.Changed(), ViewConfirmedAt: d.instances.ProvedAt, RefreshView: d.instances.Refresh, RoutingTable: d.config.Table,
-		BeforeFirstRequest: d.gateway.Idle,
+		BeforeFirstRequest: d.gateway.NoRequestsYet,
 		UsesRelay:          func() bool { return d.followMode() == followRelayed },
 		IsRelay:            func() bool { return d.followMode() == followAsRelay },
 		LoadWindow:         func() time.Duration { return d.Settings().Bounds.CeilingWindow },
@@ -313,8 +313,8 @@
 
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return &gateway.Gateway{
-		Codec: d.Platform.Codec, Config: d.config.Current, View: d.instances.View, Bounds: d.bounds,
-		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Watch: d.watch, Gate: d.gate, Clock: d.Clock, RunClock: d.runClock, Borrow: d.borrow, MayBorrow: d.mayBorrow, Starting: d.startingUp, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
+		Codec: d.Platform.Codec, Config: d.config.Current, View: d.instances.View, Limits: d.bounds,
+		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Quarantine: d.watch, Gate: d.gate, Clock: d.Clock, RunClock: d.runClock, BorrowRetry: d.borrow, CanBorrowRetry: d.mayBorrow, Starting: d.startingUp, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
 	}
 }
 
@@ -323,11 +323,11 @@
 		ErrorLog: zap.NewStdLog(d.Log)}
 }
 
-func (d *Daemon) bounds() gateway.Bounds {
+func (d *Daemon) bounds() gateway.Limits {
 	b := d.Settings().Bounds
-	out := gateway.Bounds{Config: 2 * b.Config, Retry: dispatch.BudgetRule{Ratio: b.RetryRatio, Window: b.RetryWindow}}
+	out := gateway.Limits{MaxProofAgeForRejection: 2 * b.Config, RetryBudget: dispatch.BudgetRule{Ratio: b.RetryRatio, Window: b.RetryWindow}}
 	if b.StrictRevoke && b.Revoke > 0 {
-		out.Revoke = b.Revoke - proofMargin
+		out.MaxProofAgeForKeys = b.Revoke - proofMargin
 	}
 	return out
 }
@@ -350,8 +350,8 @@
 	if d.stopping.Load() || c.Table == nil || d.instances.View() == nil {
 		return false
 	}
-	revoke := d.bounds().Revoke
-	return revoke == 0 || d.Clock.Since(c.Proved) < revoke
+	revoke := d.bounds().MaxProofAgeForKeys
+	return revoke == 0 || d.Clock.Since(c.ProvedAt) < revoke
 }
 
 func (d *Daemon) readinessServer() *http.Server {
@@ -376,7 +376,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		d.Metrics.WritePrometheus(w)
-		d.gateway.WriteLoad(w)
+		d.gateway.WriteLoadMetrics(w)
 		metrics.WriteProcessMetrics(w)
 	})
 	go d.serve(&http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}, l)
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -31,7 +31,7 @@
 	}
 	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	x = &exchange{
-		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", takeAsOtherRequest), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
+		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", takeAsOtherRequest), View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{RetryBudget: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}
 	now := time.Now()
@@ -57,7 +57,7 @@
 	}
 	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	x := &exchange{
-		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }), View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
+		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }), View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{RetryBudget: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 2}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}
 	x.attempts.CountSend()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,8 +25,8 @@
 // Config is the configuration that this daemon currently applies.
 type Config struct {
 	Table *routes.Table
-	// Proved is when the read was sent that last showed this configuration to be current.
-	Proved time.Time
+	// ProvedAt is when the read was sent that last showed this configuration to be current.
+	ProvedAt time.Time
 }
 
 // Version returns the version number of the configuration, or 0 if there is none yet.
@@ -37,15 +37,15 @@
 	return c.Table.Config.Version
 }
 
-// Bounds holds the limits on the age of the proof that the configuration is current, and the
+// Limits holds the limits on the age of the proof that the configuration is current, and the
 // rule of the retry budgets. A zero duration sets no limit.
-type Bounds struct {
-	// Requests that need a key run only while the proof is younger than Revoke.
-	Revoke time.Duration
-	// Unknown routes and keys get 404 and 401 only while the proof is not older than Config;
+type Limits struct {
+	// Requests that need a key run only while the proof is younger than MaxProofAgeForKeys.
+	MaxProofAgeForKeys time.Duration
+	// Unknown routes and keys get 404 and 401 only while the proof is not older than MaxProofAgeForRejection;
 	// after that they get 503.
-	Config time.Duration
-	Retry  dispatch.BudgetRule // of each service's retry budget
+	MaxProofAgeForRejection time.Duration
+	RetryBudget             dispatch.BudgetRule // of each service's retry budget
 }
 
 // Gateway is the http.Handler for callers' requests. All exported fields must be set before
@@ -54,7 +54,7 @@
 	Codec    Codec
 	Config   func() Config
 	View     func() *fleet.View
-	Bounds   func() Bounds
+	Limits   func() Limits
 	Stopping func() bool // if true, responses carry Connection: close
 	Pool     *upstream.Pool
 	Picker   *dispatch.Picker
@@ -63,9 +63,9 @@
 	Budgets  *dispatch.Budgets
 	// Gate tracks the rate limits, backoffs and departures that instances announce.
 	Gate *backpressure.Gate
-	// Watch tracks which requests crash instances. Later requests with the same content are
+	// Quarantine tracks which requests crash instances. Later requests with the same content are
 	// refused.
-	Watch *quarantine.Watch
+	Quarantine *quarantine.Watch
 	// Clock is the time source; nil means the system clock.
 	Clock *steady.Clock
 	// RunClock measures how long instances are silent and stops while this process is not
@@ -74,12 +74,12 @@
 	// Starting reports whether this daemon is still loading what it needs to serve requests.
 	// Requests wait until it returns false. nil means never.
 	Starting func() bool
-	// Borrow takes a retry for a service from the budgets of other daemons when this daemon's
+	// BorrowRetry takes a retry for a service from the budgets of other daemons when this daemon's
 	// budget is exhausted. nil if there are no other daemons.
-	Borrow func(ctx context.Context, service string) bool
-	// MayBorrow reports whether other daemons probably have a retry for a service. nil if there
+	BorrowRetry func(ctx context.Context, service string) bool
+	// CanBorrowRetry reports whether other daemons probably have a retry for a service. nil if there
 	// are no other daemons.
-	MayBorrow func(service string) bool
+	CanBorrowRetry func(service string) bool
 
 	currentTargets   atomic.Pointer[targetIndex] // of the latest view
 	unreadHeaders    labelSet                    // names of response headers
@@ -89,8 +89,8 @@
 	requestSeen      atomic.Bool
 }
 
-// Idle reports whether no request has arrived since the start.
-func (g *Gateway) Idle() bool { return !g.requestSeen.Load() }
+// NoRequestsYet reports whether no request has arrived since the start.
+func (g *Gateway) NoRequestsYet() bool { return !g.requestSeen.Load() }
 
 // defaultBodyBytes limits a caller's body if the configuration sets no limit.
 const defaultBodyBytes = 4 << 20
@@ -98,7 +98,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{gateway: g, w: w, req: g.Codec.Request(r), arrivedAt: g.Clock.Now()}
-	x.req.Arrived = x.arrivedAt
+	x.req.ArrivedAt = x.arrivedAt
 	g.requestSeen.Store(true)
 	if g.Stopping() {
 		w.Header().Set("Connection", "close")
@@ -179,8 +179,8 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), x.gateway.Clock.Until(x.deadline))
 	defer cancel()
-	x.budget().CountRequest(x.gateway.Bounds().Retry, x.arrivedAt)
-	x.priorWait = x.gateway.callerWaits.Elapsed(x.route.Name, x.req.Wait)
+	x.budget().CountRequest(x.gateway.Limits().RetryBudget, x.arrivedAt)
+	x.priorWait = x.gateway.callerWaits.Elapsed(x.route.Name, x.req.CallerTimeout)
 	if x.route.Kind == routes.Stream {
 		x.serveStream(ctx)
 	} else {
@@ -191,15 +191,15 @@
 // resolveRoute matches the route, checks the key, and sets the service and the deadline. It
 // returns false if it has refused the request.
 func (x *exchange) resolveRoute() bool {
-	table, bounds := x.config.Table, x.gateway.Bounds()
+	table, bounds := x.config.Table, x.gateway.Limits()
 	if table == nil {
 		return x.refuse(http.StatusServiceUnavailable, "no_configuration", dispatch.RetryAfter(dispatch.DaemonStarting))
 	}
-	age := x.arrivedAt.Sub(x.config.Proved)
+	age := x.arrivedAt.Sub(x.config.ProvedAt)
 	host, _, _ := strings.Cut(x.req.Host, ":")
 	x.route = table.Match(host, x.req.Path)
 	if x.route == nil {
-		if bounds.Config > 0 && age > bounds.Config {
+		if bounds.MaxProofAgeForRejection > 0 && age > bounds.MaxProofAgeForRejection {
 			return x.refuse(http.StatusServiceUnavailable, "no_route_in_old_configuration", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 		}
 		return x.refuse(http.StatusNotFound, "no_route", 0)
@@ -212,8 +212,8 @@
 		return x.refuse(http.StatusServiceUnavailable, "no_service", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 	}
 	x.deadline = x.arrivedAt.Add(defaultTimeout)
-	if x.req.Wait > 0 {
-		x.deadline = x.arrivedAt.Add(x.req.Wait)
+	if x.req.CallerTimeout > 0 {
+		x.deadline = x.arrivedAt.Add(x.req.CallerTimeout)
 	}
 	if x.route.Timeout > 0 {
 		x.deadline = earlier(x.deadline, x.arrivedAt.Add(x.route.Timeout))
@@ -236,13 +236,13 @@
 // authorize sets the workspace that the key belongs to. It returns false if it has refused the
 // request. If the proof is too old, every key is refused, because any could have been removed
 // since.
-func (x *exchange) authorize(age time.Duration, bounds Bounds) bool {
-	if bounds.Revoke > 0 && age >= bounds.Revoke {
+func (x *exchange) authorize(age time.Duration, bounds Limits) bool {
+	if bounds.MaxProofAgeForKeys > 0 && age >= bounds.MaxProofAgeForKeys {
 		return x.refuse(http.StatusServiceUnavailable, "configuration_not_proved_current", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 	}
 	ws := x.config.Table.Workspace(x.req.Key)
 	if ws == nil {
-		if bounds.Config > 0 && age > bounds.Config {
+		if bounds.MaxProofAgeForRejection > 0 && age > bounds.MaxProofAgeForRejection {
 			return x.refuse(http.StatusServiceUnavailable, "unknown_key_in_old_configuration", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 		}
 		return x.refuse(http.StatusUnauthorized, "unknown_key", 0)
@@ -303,7 +303,7 @@
 		t = x.pickTarget()
 	}
 	if t == nil && fromOwnBudget {
-		x.budget().RefundRetry(x.gateway.Bounds().Retry, now)
+		x.budget().RefundRetry(x.gateway.Limits().RetryBudget, now)
 	}
 	return t
 }
@@ -336,7 +336,7 @@
 // is none.
 func (x *exchange) takeRetry(ctx context.Context) *retryReservation {
 	switch {
-	case x.budget().TakeRetry(x.gateway.Bounds().Retry, x.gateway.Clock.Now()):
+	case x.budget().TakeRetry(x.gateway.Limits().RetryBudget, x.gateway.Clock.Now()):
 		return &retryReservation{fromOwnBudget: true}
 	case x.borrowRetry(ctx):
 		return &retryReservation{}
@@ -349,12 +349,12 @@
 
 // borrowRetry takes a retry from the budgets of other daemons.
 func (x *exchange) borrowRetry(ctx context.Context) bool {
-	return x.gateway.Borrow != nil && x.gateway.Borrow(ctx, x.service.Name)
+	return x.gateway.BorrowRetry != nil && x.gateway.BorrowRetry(ctx, x.service.Name)
 }
 
 // retryAvailable reports whether a request to a service could be retried now.
 func (g *Gateway) retryAvailable(service string) bool {
-	return g.Budgets.For(service).RetriesLeft(g.Bounds().Retry, g.Clock.Now()) >= 1 || g.MayBorrow != nil && g.MayBorrow(service)
+	return g.Budgets.For(service).RetriesLeft(g.Limits().RetryBudget, g.Clock.Now()) >= 1 || g.CanBorrowRetry != nil && g.CanBorrowRetry(service)
 }
 
 // send sends the request to a target once. onQuarantine is called if the request's content is
@@ -368,14 +368,14 @@
 	x.attempts.CountSend()
 	x.sends = append(x.sends, sendLog{target: t, startedAfter: now.Sub(x.arrivedAt)})
 	call := &upstream.Call{
-		Address: t.Address, Method: x.req.Method, Target: x.req.Target, Host: x.req.Host, Body: x.req.Body,
+		Address: t.Address, Method: x.req.Method, Target: x.req.RequestTarget, Host: x.req.Host, Body: x.req.Body,
 		NewConnection: !x.route.Repeatable(),
-		Header: x.gateway.Codec.Header(x.req, Send{Instance: t.Instance, Remaining: x.deadline.Sub(now),
-			Workspace: x.workspace, LastEvent: lastEvent, Urgency: x.urgency(now)}),
+		Header: x.gateway.Codec.UpstreamHeader(x.req, SendOptions{Instance: t.Instance, Remaining: x.deadline.Sub(now),
+			Workspace: x.workspace, LastEventID: lastEvent, Urgency: x.urgency(now)}),
 		Withhold:      x.withholdFunc(t),
-		IsOwnResponse: func(status int, h http.Header) bool { return x.gateway.Codec.AnswersTo(x.req.ID, status, h) },
+		IsOwnResponse: func(status int, h http.Header) bool { return x.gateway.Codec.IsResponseTo(x.req.ID, status, h) },
 	}
-	x.watchedSend = x.gateway.Watch.Begin(quarantine.Life{Instance: t.Instance, Born: t.StartedAt}, t.Address, x.workspace, x.digest, onQuarantine)
+	x.watchedSend = x.gateway.Quarantine.Begin(quarantine.Life{Instance: t.Instance, Born: t.StartedAt}, t.Address, x.workspace, x.digest, onQuarantine)
 	resp, err := x.gateway.Pool.Do(ctx, call)
 	if err != nil && (errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrBusy)) {
 		return nil, err
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -59,16 +59,16 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf("pearlanding_first_byte_seconds{route=%q}", m.label(route))).Update(x.firstByteAfter.Seconds())
 }
 
-// WriteLoad writes gauges for the requests in flight and the expected time to the first event
+// WriteLoadMetrics writes gauges for the requests in flight and the expected time to the first event
 // at each recently used target, and for the remaining retry budgets. The series are generated
 // on each call instead of registered, because targets come and go.
-func (g *Gateway) WriteLoad(w io.Writer) {
+func (g *Gateway) WriteLoadMetrics(w io.Writer) {
 	for _, l := range g.Picker.Loads(g.runClockNow()) {
 		labels := fmt.Sprintf("{instance=%q}", l.Instance)
 		metrics.WriteGaugeUint64(w, "pearlanding_target_in_flight"+labels, uint64(max(l.InFlight, 0)))
 		metrics.WriteGaugeFloat64(w, "pearlanding_target_expected_first_event_seconds"+labels, l.Expected.Seconds())
 	}
-	for service, remaining := range g.Budgets.RetriesLeft(g.Bounds().Retry, g.Clock.Now()) {
+	for service, remaining := range g.Budgets.RetriesLeft(g.Limits().RetryBudget, g.Clock.Now()) {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf("pearlanding_repeat_budget_left{service=%q}", service), remaining)
 	}
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -57,7 +57,7 @@
 			return 0
 		})
 	}
-	resp, err := x.send(attempt, t, x.req.LastEvent, func() { cancel(quarantine.ErrRefused) })
+	resp, err := x.send(attempt, t, x.req.LastEventID, func() { cancel(quarantine.ErrRefused) })
 	defer x.endSend()
 	if err != nil {
 		return x.plainSendFailed(attempt, t, err)
@@ -110,7 +110,7 @@
 // if the request must be sent to another target instead.
 func (x *exchange) passResponse(t *dispatch.Target, resp *http.Response, body []byte) bool {
 	codec := x.gateway.Codec
-	if codec.NotRun(resp.StatusCode, resp.Header) {
+	if codec.SaysNotRun(resp.StatusCode, resp.Header) {
 		x.recordEnd("refused " + resp.Status)
 		x.uncountIfNotRun(resp)
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
@@ -134,7 +134,7 @@
 	}
 	if x.sends[len(x.sends)-1].outcome == "" {
 		x.recordEnd("answered")
-		x.gateway.Watch.Good(x.digest)
+		x.gateway.Quarantine.Good(x.digest)
 	}
 	x.writeHeader(resp, len(body))
 	_, _ = x.w.Write(body) // fails only if the caller disconnected
@@ -146,7 +146,7 @@
 // the caller can't be told to retry, either because it has part of the response or because an
 // earlier instance may have run the request.
 func (x *exchange) uncountIfNotRun(resp *http.Response) {
-	if (x.headerSent || x.mayHaveRun) && x.gateway.Codec.NotRun(resp.StatusCode, resp.Header) {
+	if (x.headerSent || x.mayHaveRun) && x.gateway.Codec.SaysNotRun(resp.StatusCode, resp.Header) {
 		x.attempts.UncountReached()
 	}
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -8,7 +8,7 @@
 
 // content returns what identifies equal requests for the quarantine.
 func (x *exchange) content() quarantine.Content {
-	return quarantine.Content{Workspace: x.workspace, Method: x.req.Method, Target: x.req.Target, Model: x.req.Model, Body: x.req.Body}
+	return quarantine.Content{Workspace: x.workspace, Method: x.req.Method, Target: x.req.RequestTarget, Model: x.req.Model, Body: x.req.Body}
 }
 
 // reasonEndedInstances means that the request crashed the instances that ran it.
@@ -18,7 +18,7 @@
 // it did. The refusal is final: it doesn't say that the request has not run, and it carries no
 // Retry-After.
 func (x *exchange) refuseQuarantined() bool {
-	if !x.gateway.Watch.Refuses(x.digest) {
+	if !x.gateway.Quarantine.Refuses(x.digest) {
 		return false
 	}
 	x.reason = reasonEndedInstances
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -70,7 +70,7 @@
 func (x *exchange) logFields(took time.Duration) []zap.Field {
 	fields := []zap.Field{zap.String("id", x.req.ID), zap.Int("status", x.status), zap.String("reason", x.reason),
 		zap.Int64("took_ms", took.Milliseconds()), zap.String("workspace", x.workspace),
-		zap.Int64("proof_age_ms", x.arrivedAt.Sub(x.config.Proved).Milliseconds())}
+		zap.Int64("proof_age_ms", x.arrivedAt.Sub(x.config.ProvedAt).Milliseconds())}
 	if x.config.Table != nil {
 		fields = append(fields, zap.Uint64("config_version", x.config.Table.Config.Version))
 	}
@@ -84,7 +84,7 @@
 			zap.Int64("max_gap_ms", x.maxGap.Milliseconds()), zap.Int64("gap_ms", x.gapObjective().Milliseconds()), zap.Int("replicas", x.admission.Replicas),
 			zap.Int64("expected_ms", x.admission.Expected.Milliseconds()), zap.Int64("floor_ms", x.admission.Floor.Milliseconds()), zap.Int64("limit_ms", x.admission.Limit.Milliseconds()))
 	}
-	if x.digest != nil && (x.brokenSends > 0 || !x.gateway.Watch.Evidence.Empty()) {
+	if x.digest != nil && (x.brokenSends > 0 || !x.gateway.Quarantine.Evidence.Empty()) {
 		fields = append(fields, zap.String("content", x.digest().Short()))
 	}
 	if x.view != nil {
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -33,7 +33,7 @@
 	view := fleet.BuildView(1, start, map[string]*fleet.Instance{"a": {ID: "a", Service: "s"}, "b": {ID: "b", Service: "s"}}, nil, nil)
 	r.exchange = &exchange{
 		gateway: &Gateway{Gate: newGate(), Clock: clock, RunClock: runClock, Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }),
-			View: func() *fleet.View { return view }, Bounds: func() Bounds { return Bounds{Retry: rule} }},
+			View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{RetryBudget: rule} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Kind: routes.Stream, Resumable: true, Attempts: 3}, req: &Request{},
 		deadline: clock.Now().Add(time.Minute),
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -27,13 +27,13 @@
 	table := routes.Compile(&routes.Config{Version: 1})
 	g := &Gateway{
 		Codec: testCodec{}, Gate: newGate(), Picker: dispatch.NewPicker("", func(int) int { return 0 }), Budgets: &dispatch.Budgets{},
-		Bounds: func() Bounds { return Bounds{} }, Stopping: func() bool { return false }, View: func() *fleet.View { return nil },
+		Limits: func() Limits { return Limits{} }, Stopping: func() bool { return false }, View: func() *fleet.View { return nil },
 		Metrics: NewMetrics(metrics.NewSet()), Log: zap.NewNop(),
-		Watch:    quarantine.NewWatch(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
-		Starting: func() bool { return !configKnown.Load() },
+		Quarantine: quarantine.NewWatch(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
+		Starting:   func() bool { return !configKnown.Load() },
 		Config: func() Config {
 			if configKnown.Load() {
-				return Config{Table: table, Proved: time.Now()}
+				return Config{Table: table, ProvedAt: time.Now()}
 			}
 			return Config{}
 		},
@@ -49,4 +49,4 @@
 
 func (testCodec) Request(r *http.Request) *Request { return &Request{Host: r.Host, Path: r.URL.Path} }
 
-func (testCodec) RetryAfter(http.Header, time.Duration) {}
+func (testCodec) SetRetryAfter(http.Header, time.Duration) {}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -30,7 +30,7 @@
 // another replica after the last event that was passed on.
 func (x *exchange) serveStream(ctx context.Context) {
 	defer x.releaseRetry()
-	if id, err := strconv.ParseInt(x.req.LastEvent, 10, 64); err == nil {
+	if id, err := strconv.ParseInt(x.req.LastEventID, 10, 64); err == nil {
 		x.lastEventID, x.hasLastEventID = id, true
 	}
 	x.admission = x.gateway.Picker.Admit(x.targets(), x.req.Model, x.route.Objective, x.gateway.runClockNow())
@@ -72,7 +72,7 @@
 	defer cancel(nil)
 	timer := x.watchForStall(attempt, t, sentAt, timeouts, cancel)
 	defer timer.Stop()
-	lastSeen := x.req.LastEvent
+	lastSeen := x.req.LastEventID
 	if x.hasLastEventID {
 		lastSeen = strconv.FormatInt(x.lastEventID, 10)
 	}
@@ -106,7 +106,7 @@
 		return false
 	}
 	x.recordEnd("answered")
-	x.gateway.Watch.Good(x.digest)
+	x.gateway.Quarantine.Good(x.digest)
 	return true
 }
 
@@ -178,7 +178,7 @@
 // releaseRetry returns a reserved retry that was not needed.
 func (x *exchange) releaseRetry() {
 	if r := x.reservedRetry.Swap(nil); r != nil && r.fromOwnBudget {
-		x.budget().RefundRetry(x.gateway.Bounds().Retry, x.gateway.Clock.Now())
+		x.budget().RefundRetry(x.gateway.Limits().RetryBudget, x.gateway.Clock.Now())
 	}
 }
 
--- a/internal/gateway/unreadheaders.go
+++ b/internal/gateway/unreadheaders.go
@@ -45,7 +45,7 @@
 // countUnread counts the headers of an upstream's response that the gateway doesn't use, by
 // name. The first of each name is logged with its values.
 func (g *Gateway) countUnread(h http.Header) {
-	for _, name := range g.Codec.Unread(h) {
+	for _, name := range g.Codec.UnknownHeaders(h) {
 		label, first := g.unreadHeaders.add(name)
 		if first {
 			g.Log.Info("unknown response header from upstream", zap.String("name", label), zap.String("values", fmt.Sprintf("%.*q", maxUpstreamLabelBytes, h[name])))
