--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -46,9 +46,9 @@
 				replica.Members = append(replica.Members, group.Member{VM: vm, Address: "10.0.0.1:9000", BootID: "01234567-89ab-cdef-0123-456789abcdef"})
 			}
 			d.Groups[replica.ID] = replica
-			s.observeEvidence(group.Evidence{Group: replica.ID, Epoch: replica.Epoch, Ready: now, Running: 4, Slots: 8}, now)
+			s.observeEvidence(group.Evidence{Group: replica.ID, Epoch: replica.Epoch, ReadyAt: now, Running: 4, Slots: 8}, now)
 		}
-		s.observeDomain(d.Name, group.Copy{Version: uint64(20 + i), Domain: d}, now)
+		s.observeDomain(d.Name, group.VersionedDomain{Version: uint64(20 + i), Domain: d}, now)
 	}
 	return s, now
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -204,7 +204,7 @@
 // The methods below implement group.View.
 
 // Domains implements group.View.
-func (c *Control) Domains() map[string]group.Copy { return c.Snapshot().Domains }
+func (c *Control) Domains() map[string]group.VersionedDomain { return c.Snapshot().Domains }
 
 // Evidence implements group.View.
 func (c *Control) Evidence() map[string]group.Evidence { return c.Snapshot().Evidence }
@@ -216,7 +216,7 @@
 func (c *Control) Owns(duty string, n int) bool { return c.Snapshot().Owns(duty, n) }
 
 // PublishDomain implements group.View.
-func (c *Control) PublishDomain(name string, versioned group.Copy) {
+func (c *Control) PublishDomain(name string, versioned group.VersionedDomain) {
 	c.enqueue(func(s *state, now time.Time) { s.observeDomain(name, versioned, now) })
 }
 
--- a/internal/control/pack.go
+++ b/internal/control/pack.go
@@ -29,8 +29,8 @@
 	for _, id := range ids {
 		e, known := evidence[id]
 		age := byte(unknownAge)
-		if known && e.Epoch == d.Groups[id].Epoch && !e.Ready.IsZero() {
-			if units := (max(now.Sub(e.Ready), 0) + unit - 1) / unit; units < unknownAge {
+		if known && e.Epoch == d.Groups[id].Epoch && !e.ReadyAt.IsZero() {
+			if units := (max(now.Sub(e.ReadyAt), 0) + unit - 1) / unit; units < unknownAge {
 				age = byte(units)
 			}
 		}
@@ -58,7 +58,7 @@
 			continue
 		}
 		uint16At := func(at int) int { return int(binary.BigEndian.Uint16(entry[at:])) }
-		out = append(out, group.Evidence{Group: id, Epoch: d.Groups[id].Epoch, Ready: sent.Add(-time.Duration(entry[0]) * unit),
+		out = append(out, group.Evidence{Group: id, Epoch: d.Groups[id].Epoch, ReadyAt: sent.Add(-time.Duration(entry[0]) * unit),
 			Running: uint16At(1), Queued: uint16At(3), Slots: uint16At(5)})
 	}
 	return out
@@ -74,8 +74,8 @@
 			continue
 		}
 		age := int64(-1)
-		if !e.Ready.IsZero() {
-			age = ageMS(now, e.Ready)
+		if !e.ReadyAt.IsZero() {
+			age = ageMS(now, e.ReadyAt)
 		}
 		out = append(out, cluster.EvidenceReport{AgeMS: age, Evidence: e})
 	}
--- a/internal/control/pack_test.go
+++ b/internal/control/pack_test.go
@@ -25,7 +25,7 @@
 			d.Groups[id] = group.Group{ID: id, Epoch: uint64(i + 1)}
 			if rapid.Bool().Draw(t, "known") {
 				age := time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond
-				evidence[id] = group.Evidence{Group: id, Epoch: uint64(i + rapid.IntRange(0, 1).Draw(t, "epoch")), Ready: now.Add(-age),
+				evidence[id] = group.Evidence{Group: id, Epoch: uint64(i + rapid.IntRange(0, 1).Draw(t, "epoch")), ReadyAt: now.Add(-age),
 					Running: rapid.IntRange(0, 1<<17).Draw(t, "running"), Slots: 8}
 			}
 		}
@@ -33,8 +33,8 @@
 			in := evidence[e.Group]
 			must.Eq(t, in.Epoch, e.Epoch)
 			must.Eq(t, d.Groups[e.Group].Epoch, e.Epoch)
-			must.False(t, e.Ready.After(in.Ready))
-			must.LessEq(t, maxAge/ageUnits, in.Ready.Sub(e.Ready))
+			must.False(t, e.ReadyAt.After(in.ReadyAt))
+			must.LessEq(t, maxAge/ageUnits, in.ReadyAt.Sub(e.ReadyAt))
 			must.Eq(t, min(in.Running, 0xffff), e.Running)
 		}
 	})
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -42,11 +42,11 @@
 	WaitingFor        []string
 	LiveSlots         []string // slots of the daemons that can be assigned duties
 	owners            cluster.RendezvousHash
-	Peers             map[string]Peer             // by slot
-	Domains           map[string]group.Copy       // by name
-	Evidence          map[string]group.Evidence   // by group id
-	Targets           map[string][]*router.Target // by pool
-	WorkspaceByDigest map[string]string           // token digest -> workspace
+	Peers             map[string]Peer                  // by slot
+	Domains           map[string]group.VersionedDomain // by name
+	Evidence          map[string]group.Evidence        // by group id
+	Targets           map[string][]*router.Target      // by pool
+	WorkspaceByDigest map[string]string                // token digest -> workspace
 	Pools             []catalog.Pool
 	// OthersInUse is the number of in-flight requests at the other live daemons, by
 	// workspace.
@@ -167,7 +167,7 @@
 func (s *state) target(d group.Domain, g group.Group, e group.Evidence, old *router.Target) *router.Target {
 	t := &router.Target{
 		Group: g.ID, Pool: g.Pool, Epoch: g.Epoch, Place: d.Place, Domain: d.Name, Address: g.Members[0].Address,
-		Ready: e.Ready, Running: e.Running, Queued: e.Queued, Slots: e.Slots,
+		Ready: e.ReadyAt, Running: e.Running, Queued: e.Queued, Slots: e.Slots,
 		Since: s.servingSince[group.StateKey(g)], Sent: new(atomic.Int64),
 	}
 	if old != nil && old.Epoch == t.Epoch && old.Ready.Equal(t.Ready) {
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -31,7 +31,7 @@
 	acceptedUpTo uint64                        // highest revision known to be accepted
 	contacts     map[string]revision.Hearing   // last contact with each slot
 	loads        map[string]cluster.DaemonLoad // by slot
-	domains      map[string]group.Copy
+	domains      map[string]group.VersionedDomain
 	evidence     map[string]group.Evidence
 	servingSince map[string]time.Time // by group.StateKey: when the epoch was first seen serving
 	stopping     bool
@@ -41,7 +41,7 @@
 func newState(cfg Config, now time.Time) *state {
 	return &state{
 		cfg: cfg, head: revision.NewHead(), contacts: map[string]revision.Hearing{}, loads: map[string]cluster.DaemonLoad{},
-		domains: map[string]group.Copy{}, evidence: map[string]group.Evidence{}, servingSince: map[string]time.Time{}, startedAt: now,
+		domains: map[string]group.VersionedDomain{}, evidence: map[string]group.Evidence{}, servingSince: map[string]time.Time{}, startedAt: now,
 	}
 }
 
@@ -184,7 +184,7 @@
 }
 
 // observeDomain applies a domain object if it is newer.
-func (s *state) observeDomain(name string, c group.Copy, now time.Time) {
+func (s *state) observeDomain(name string, c group.VersionedDomain, now time.Time) {
 	if old, known := s.domains[name]; known && c.Version <= old.Version {
 		return
 	}
@@ -204,7 +204,7 @@
 func (s *state) observeDomainReport(r cluster.DomainReport, sent time.Time) {
 	if len(r.Domain) > 0 {
 		if d, err := group.DecodeDomain(r.Domain); err == nil {
-			s.observeDomain(r.Name, group.Copy{Version: r.Version, Domain: d}, sent)
+			s.observeDomain(r.Name, group.VersionedDomain{Version: r.Version, Domain: d}, sent)
 		}
 	}
 	if c := s.domains[r.Name]; c.Version == r.Version {
@@ -215,7 +215,7 @@
 	for _, e := range r.Abnormal {
 		ev := e.Evidence
 		if e.AgeMS >= 0 {
-			ev.Ready = sent.Add(-time.Duration(e.AgeMS) * time.Millisecond)
+			ev.ReadyAt = sent.Add(-time.Duration(e.AgeMS) * time.Millisecond)
 		}
 		s.observeEvidence(ev, sent)
 	}
@@ -233,7 +233,7 @@
 	if known && old.Epoch == e.Epoch && old.Ended {
 		return
 	}
-	if known && old.Epoch == e.Epoch && !e.Ended && e.Ready.Before(old.Ready) && received.Sub(old.Ready) < s.cfg.EvidenceAge {
+	if known && old.Epoch == e.Epoch && !e.Ended && e.ReadyAt.Before(old.ReadyAt) && received.Sub(old.ReadyAt) < s.cfg.EvidenceAge {
 		old.Leaving = unionStrings(old.Leaving, e.Leaving)
 		s.evidence[e.Group] = old
 		return
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -54,7 +54,7 @@
 func TestFreshestEvidenceOfAnyProberIsKept(t *testing.T) {
 	now := time.Unix(8000, 0)
 	s := testState(now)
-	ready := group.Evidence{Group: "g", Epoch: 3, Ready: now}
+	ready := group.Evidence{Group: "g", Epoch: 3, ReadyAt: now}
 	s.observeEvidence(ready, now)
 	// Another prober can't reach a member. Its report is ignored while the first one is
 	// fresh.
@@ -64,9 +64,9 @@
 	must.Eq(t, []string{"vm"}, s.evidence["g"].Lost)
 	// The end of an epoch is final, and evidence of an older epoch is ignored.
 	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Ended: true, Lost: []string{"vm"}}, now)
-	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, Ready: now.Add(time.Hour)}, now)
+	s.observeEvidence(group.Evidence{Group: "g", Epoch: 3, ReadyAt: now.Add(time.Hour)}, now)
 	must.True(t, s.evidence["g"].Ended)
-	s.observeEvidence(group.Evidence{Group: "g", Epoch: 2, Ready: now.Add(time.Hour)}, now)
+	s.observeEvidence(group.Evidence{Group: "g", Epoch: 2, ReadyAt: now.Add(time.Hour)}, now)
 	must.Eq(t, uint64(3), s.evidence["g"].Epoch)
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -44,7 +44,7 @@
 	callers     *server.Hertz
 	operators   *server.Hertz
 	peers       *rpc.Peers
-	reconcilers *group.Manager
+	reconcilers *group.ReconcilerSet
 	prober      *group.Prober
 }
 
@@ -104,7 +104,7 @@
 func (d *Daemon) newGroupComponents(store objectapi.Store, incarnation string) {
 	t, p := d.settings.Timing, d.settings.Planner
 	engines := engine.NewClient(t.OrderTimeout)
-	d.reconcilers = group.NewManager(group.HolderConfig{
+	d.reconcilers = group.NewReconcilerSet(group.ReconcilerConfig{
 		Self:  group.Holder{Slot: d.settings.Daemon.Name, Incarnation: incarnation},
 		Store: store, Engines: engines, View: d.control, Interval: t.ProbeInterval, Lease: t.DutyLease, Log: d.log,
 		Policy: group.Policy{
@@ -129,7 +129,7 @@
 	tele.Gauge("pearlanding_accelerators_not_serving", func() float64 {
 		n := 0
 		for _, c := range d.control.Snapshot().Domains {
-			n += c.Domain.NotServing()
+			n += c.Domain.AcceleratorsNotServing()
 		}
 		return float64(n)
 	})
--- a/internal/group/domain.go
+++ b/internal/group/domain.go
@@ -194,9 +194,9 @@
 	return d.LastEpoch
 }
 
-// NotServing returns the number of accelerators on listed VMs that are not in a
+// AcceleratorsNotServing returns the number of accelerators on listed VMs that are not in a
 // serving group.
-func (d Domain) NotServing() int {
+func (d Domain) AcceleratorsNotServing() int {
 	n := 0
 	for name, record := range d.VMs {
 		if g, used := d.GroupOf(name); !record.Gone && (!used || g.State != StateServing) {
--- a/internal/group/evidence.go
+++ b/internal/group/evidence.go
@@ -59,9 +59,9 @@
 // boot ids, zero if they are not. It is sent to other daemons as an age because their
 // clocks differ.
 type Evidence struct {
-	Group string    `json:"group"`
-	Epoch uint64    `json:"epoch"`
-	Ready time.Time `json:"-"`
+	Group   string    `json:"group"`
+	Epoch   uint64    `json:"epoch"`
+	ReadyAt time.Time `json:"-"`
 	// Running, Queued and Slots are as reported by the engine of rank 0.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
@@ -83,7 +83,7 @@
 // Assess derives the evidence on a serving or draining group from the probes of its
 // members, keyed by VM name.
 func Assess(g Group, probes map[string]ProbeState, now time.Time, maxAge time.Duration) Evidence {
-	e := Evidence{Group: g.ID, Epoch: g.Epoch, Ready: now}
+	e := Evidence{Group: g.ID, Epoch: g.Epoch, ReadyAt: now}
 	for rank, m := range g.Members {
 		p := probes[m.VM]
 		if lost, confirmed := memberLost(g, rank, p, now, maxAge); lost {
@@ -94,9 +94,9 @@
 			e.Leaving = append(e.Leaving, m.VM)
 		}
 		if !memberReady(g, rank, p.Status) {
-			e.Ready = time.Time{}
-		} else if p.AnsweredAt.Before(e.Ready) {
-			e.Ready = p.AnsweredAt
+			e.ReadyAt = time.Time{}
+		} else if p.AnsweredAt.Before(e.ReadyAt) {
+			e.ReadyAt = p.AnsweredAt
 		}
 		if rank == 0 {
 			e.Running, e.Queued, e.Slots = p.Status.Running, p.Status.Queued, p.Status.Slots
--- a/internal/group/plan_test.go
+++ b/internal/group/plan_test.go
@@ -106,14 +106,14 @@
 	g := testDomain(StateServing).Groups["d.1"]
 	probes := map[string]ProbeState{"vm0": ready(g, 0, now), "vm1": ready(g, 1, now.Add(-time.Second))}
 	e := Assess(g, probes, now, testPolicy.EvidenceAge)
-	must.Eq(t, now.Add(-time.Second), e.Ready) // the time of the oldest answer
+	must.Eq(t, now.Add(-time.Second), e.ReadyAt) // the time of the oldest answer
 	must.SliceEmpty(t, e.Lost)
 
 	restarted := probes["vm1"]
 	restarted.Status.BootID = "another"
 	probes["vm1"] = restarted
 	e = Assess(g, probes, now, testPolicy.EvidenceAge)
-	must.True(t, e.Ready.IsZero())
+	must.True(t, e.ReadyAt.IsZero())
 	must.Eq(t, []string{"vm1"}, e.Lost)
 }
 
--- a/internal/group/prober.go
+++ b/internal/group/prober.go
@@ -12,8 +12,8 @@
 	"pearlanding/internal/engine"
 )
 
-// Copy is a domain together with the version of its platform object.
-type Copy struct {
+// VersionedDomain is a domain together with the version of its platform object.
+type VersionedDomain struct {
 	Version uint64
 	Domain  Domain
 }
@@ -22,7 +22,7 @@
 // returned values are immutable snapshots.
 type View interface {
 	// Domains returns the newest known copy of each domain object.
-	Domains() map[string]Copy
+	Domains() map[string]VersionedDomain
 	// Evidence returns the freshest known evidence of each group.
 	Evidence() map[string]Evidence
 	// Pools returns the pools of the configuration in force.
@@ -32,7 +32,7 @@
 	// "probe/GROUP".
 	Owns(duty string, n int) bool
 	// PublishDomain passes on a domain object that was read or written.
-	PublishDomain(name string, c Copy)
+	PublishDomain(name string, c VersionedDomain)
 	// PublishEvidence passes on evidence from this daemon's own probes.
 	PublishEvidence(list []Evidence)
 }
--- a/internal/group/reconciler.go
+++ b/internal/group/reconciler.go
@@ -12,8 +12,8 @@
 	"pearlanding/internal/objectapi"
 )
 
-// HolderConfig configures the reconcilers of the domains that this daemon holds.
-type HolderConfig struct {
+// ReconcilerConfig configures the reconcilers of the domains that this daemon holds.
+type ReconcilerConfig struct {
 	Self     Holder
 	Store    objectapi.Store
 	Engines  engine.Controller
@@ -32,11 +32,11 @@
 // reconciler drives one domain towards its desired state while this daemon owns the
 // domain. All its fields belong to one goroutine.
 type reconciler struct {
-	cfg    HolderConfig
+	cfg    ReconcilerConfig
 	domain string
 	place  string
 
-	current      Copy
+	current      VersionedDomain
 	verifiedAt   time.Time // send time of the last read that showed this daemon as holder
 	orderFrom    time.Time // no orders before this: an order of the previous holder may be in flight
 	vmList       []objectapi.VM
@@ -80,7 +80,7 @@
 		r.cfg.Log.Error("cannot decode domain object", zap.String("domain", r.domain), zap.Error(err))
 		return false
 	}
-	r.setCurrent(Copy{obj.Version, d})
+	r.setCurrent(VersionedDomain{obj.Version, d})
 	if d.Holder == r.cfg.Self {
 		r.verifiedAt = sent
 		return true
@@ -131,7 +131,7 @@
 		return false
 	}
 	r.logTransitions(next)
-	r.setCurrent(Copy{version, next})
+	r.setCurrent(VersionedDomain{version, next})
 	return true
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-func (r *reconciler) setCurrent(c Copy) {
+func (r *reconciler) setCurrent(c VersionedDomain) {
 	r.current = c
 	r.cfg.View.PublishDomain(r.domain, c)
 }
--- a/internal/group/reconciler_set.go
+++ b/internal/group/reconciler_set.go
@@ -9,23 +9,23 @@
 	"go.uber.org/zap"
 )
 
-// Manager runs a reconciler for each fabric domain that this daemon owns.
-type Manager struct {
-	cfg     HolderConfig
+// ReconcilerSet runs a reconciler for each fabric domain that this daemon owns.
+type ReconcilerSet struct {
+	cfg     ReconcilerConfig
 	cancels map[string]context.CancelFunc // by domain: stops its reconciler
 	// loaded is set once all domain objects have been read. Planning before that
 	// could form groups that already exist in other domains.
 	loaded bool
 }
 
-// NewManager returns a Manager without reconcilers; Run starts them.
-func NewManager(cfg HolderConfig) *Manager {
-	return &Manager{cfg: cfg, cancels: map[string]context.CancelFunc{}}
+// NewReconcilerSet returns a ReconcilerSet without reconcilers; Run starts them.
+func NewReconcilerSet(cfg ReconcilerConfig) *ReconcilerSet {
+	return &ReconcilerSet{cfg: cfg, cancels: map[string]context.CancelFunc{}}
 }
 
 // Run starts and stops reconcilers as the ownership of domains moves between
 // daemons. It returns when ctx ends.
-func (m *Manager) Run(ctx context.Context) {
+func (m *ReconcilerSet) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.Interval)
 	defer ticker.Stop()
 	var vmListReadAt time.Time
@@ -49,7 +49,7 @@
 }
 
 // load reads and publishes all domain objects.
-func (m *Manager) load(ctx context.Context) {
+func (m *ReconcilerSet) load(ctx context.Context) {
 	objects, err := m.cfg.Store.List(ctx, KeyPrefix)
 	if err != nil {
 		return
@@ -60,14 +60,14 @@
 			m.cfg.Log.Error("cannot decode domain object", zap.String("key", obj.Key), zap.Error(err))
 			continue
 		}
-		m.cfg.View.PublishDomain(d.Name, Copy{obj.Version, d})
+		m.cfg.View.PublishDomain(d.Name, VersionedDomain{obj.Version, d})
 	}
 	m.loaded = true
 }
 
 // createMissingDomains creates an object for each domain that appears in the
 // platform's VM list but has no known object.
-func (m *Manager) createMissingDomains(ctx context.Context) {
+func (m *ReconcilerSet) createMissingDomains(ctx context.Context) {
 	list, err := m.cfg.Store.VMs(ctx, "")
 	if err != nil {
 		m.cfg.Log.Debug("VM list not read", zap.Error(err))
@@ -86,12 +86,12 @@
 
 // withDomain returns a copy of known with an empty entry for the domain added; known
 // is an immutable snapshot.
-func withDomain(known map[string]Copy, domain string) map[string]Copy {
-	out := make(map[string]Copy, len(known)+1)
+func withDomain(known map[string]VersionedDomain, domain string) map[string]VersionedDomain {
+	out := make(map[string]VersionedDomain, len(known)+1)
 	for k, v := range known {
 		out[k] = v
 	}
-	out[domain] = Copy{}
+	out[domain] = VersionedDomain{}
 	return out
 }
 
@@ -102,13 +102,13 @@
 		return
 	}
 	if d, err := DecodeDomain(obj.Value); err == nil {
-		r.setCurrent(Copy{obj.Version, d})
+		r.setCurrent(VersionedDomain{obj.Version, d})
 	}
 }
 
 // syncReconcilers starts reconcilers for domains that this daemon owns and stops
 // those of domains that it no longer owns.
-func (m *Manager) syncReconcilers(ctx context.Context) {
+func (m *ReconcilerSet) syncReconcilers(ctx context.Context) {
 	for name, c := range m.cfg.View.Domains() {
 		owned := m.cfg.View.Owns("domain/"+name, 1)
 		stop, running := m.cancels[name]
--- a/internal/group/sim_test.go
+++ b/internal/group/sim_test.go
@@ -38,7 +38,7 @@
 
 type simReconciler struct {
 	self       Holder
-	current    Copy
+	current    VersionedDomain
 	verifiedAt time.Time
 	orderFrom  time.Time
 	probes     map[string]ProbeState
@@ -47,7 +47,7 @@
 
 // simDispatcher is the state that one daemon routes requests by.
 type simDispatcher struct {
-	copy     Copy
+	copy     VersionedDomain
 	evidence map[string]Evidence
 	probes   map[string]ProbeState
 }
@@ -130,7 +130,7 @@
 		return
 	}
 	d, _ := DecodeDomain(obj.Value)
-	r.current = Copy{obj.Version, d}
+	r.current = VersionedDomain{obj.Version, d}
 	if d.Holder == r.self {
 		r.verifiedAt = s.now
 		return
@@ -156,7 +156,7 @@
 	if err != nil || rapid.IntRange(0, 9).Draw(s.t, "answer") == 0 {
 		return false
 	}
-	r.current = Copy{version, next}
+	r.current = VersionedDomain{version, next}
 	return true
 }
 
@@ -231,7 +231,7 @@
 	d := s.pickDispatcher()
 	if obj, err := s.store.Get(context.Background(), Key("d")); err == nil && obj.Version > d.copy.Version {
 		domain, _ := DecodeDomain(obj.Value)
-		d.copy = Copy{obj.Version, domain}
+		d.copy = VersionedDomain{obj.Version, domain}
 	}
 }
 
@@ -257,7 +257,7 @@
 	for _, id := range d.copy.Domain.GroupIDs() {
 		g := d.copy.Domain.Groups[id]
 		e, known := d.evidence[id]
-		if g.State != StateServing || !known || e.Epoch != g.Epoch || e.Ready.IsZero() || s.now.Sub(e.Ready) >= simEvidenceAge {
+		if g.State != StateServing || !known || e.Epoch != g.Epoch || e.ReadyAt.IsZero() || s.now.Sub(e.ReadyAt) >= simEvidenceAge {
 			continue
 		}
 		s.checkServed(g)
--- a/internal/operator/intent.go
+++ b/internal/operator/intent.go
@@ -103,7 +103,7 @@
 		version, err := o.Store.Update(ctx, group.Key(domain), obj.Version, value)
 		switch {
 		case err == nil:
-			o.Control.PublishDomain(domain, group.Copy{Version: version, Domain: d})
+			o.Control.PublishDomain(domain, group.VersionedDomain{Version: version, Domain: d})
 			return o.intentResult(d, vm, want, version), nil
 		case errors.Is(err, objectapi.ErrUnknownOutcome):
 			mayHaveRun = true
--- a/internal/operator/views.go
+++ b/internal/operator/views.go
@@ -83,8 +83,8 @@
 				State: g.State, Reason: g.Reason, Members: g.Members, ReadyAgeMS: -1}
 			if e, ok := snap.Evidence[id]; ok && e.Epoch == g.Epoch {
 				v.Running, v.Queued, v.Slots = e.Running, e.Queued, e.Slots
-				if !e.Ready.IsZero() {
-					v.ReadyAgeMS = now.Sub(e.Ready).Milliseconds()
+				if !e.ReadyAt.IsZero() {
+					v.ReadyAgeMS = now.Sub(e.ReadyAt).Milliseconds()
 				}
 			}
 			out = append(out, v)
@@ -174,7 +174,7 @@
 	out := []DomainView{}
 	for name, c := range snap.Domains {
 		v := DomainView{Name: name, Place: c.Domain.Place, Holder: c.Domain.Holder.Slot, Version: c.Version,
-			VMs: len(c.Domain.VMs), Groups: map[group.State]int{}, AcceleratorsNotServing: c.Domain.NotServing()}
+			VMs: len(c.Domain.VMs), Groups: map[group.State]int{}, AcceleratorsNotServing: c.Domain.AcceleratorsNotServing()}
 		for _, g := range c.Domain.Groups {
 			v.Groups[g.State]++
 		}
