--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -29,7 +29,7 @@
 
 // Append implements cluster.Handler: it batches a peer's records with this daemon's own.
 func (h *peerHandler) Append(ctx context.Context, req cluster.AppendRequest) (cluster.AppendReply, error) {
-	entries, err := h.ledger.AppendHere(ctx, req.Shard, req.Records)
+	entries, err := h.ledger.AppendLocal(ctx, req.Shard, req.Records)
 	if errors.Is(err, ledger.ErrFull) {
 		return cluster.AppendReply{Full: true}, nil
 	}
@@ -46,7 +46,7 @@
 // records itself.
 func (f *recordForwarder) Forward(ctx context.Context, shard int, records []ledger.Record) ([]ledger.Entry, bool, error) {
 	snap := f.control.Snapshot()
-	owner := snap.Owner(ledger.Duty(shard))
+	owner := snap.Owner(ledger.DutyName(shard))
 	if owner == "" || owner == snap.Slot {
 		return nil, false, nil
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -18,8 +18,8 @@
 	Forward(ctx context.Context, shard int, records []Record) (entries []Entry, ok bool, err error)
 }
 
-// Duty returns the name of the duty of batching a shard's records.
-func Duty(shard int) string { return fmt.Sprintf("ledger/%d", shard) }
+// DutyName returns the name of the duty of batching a shard's records.
+func DutyName(shard int) string { return fmt.Sprintf("ledger/%d", shard) }
 
 // Config is the configuration of a ledger.
 type Config struct {
@@ -173,11 +173,11 @@
 	}
 }
 
-// AppendHere writes records of one shard from this daemon, without the Forwarder, and returns
+// AppendLocal writes records of one shard from this daemon, without the Forwarder, and returns
 // the entry of each record's key once they are durable. After an error the records may or may not
 // be written, and the caller must not dispatch their attempts. The error is ErrFull if the shard is
 // full, and ErrUnavailable if the platform can't be written or the queue is full.
-func (l *Ledger) AppendHere(ctx context.Context, id int, records []Record) ([]Entry, error) {
+func (l *Ledger) AppendLocal(ctx context.Context, id int, records []Record) ([]Entry, error) {
 	if id < 0 || id >= len(l.queues) {
 		return nil, errors.NotValidf("shard %d", id)
 	}
@@ -211,7 +211,7 @@
 			return Entry{}, ErrFull
 		}
 	}
-	entries, err := l.AppendHere(ctx, id, records)
+	entries, err := l.AppendLocal(ctx, id, records)
 	if err != nil {
 		return Entry{}, err
 	}
