--- a/cmd/pearlanding/refused.go
+++ b/cmd/pearlanding/refused.go
@@ -50,12 +50,12 @@
 		c := &s.Contents[i]
 		state := "marked"
 		switch {
-		case c.Refuses():
+		case c.Quarantined():
 			state = "refused"
 		case c.Released > 0:
 			state = "released"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", c.Digest, c.Workspace, state, len(c.Ends), c.Changed.UTC().Format(time.RFC3339))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", c.Digest, c.Workspace, state, len(c.Crashes), c.ChangedAt.UTC().Format(time.RFC3339))
 	}
 	if err := w.Flush(); err != nil {
 		return fail(err)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -120,10 +120,10 @@
 	survey        *relay.Survey
 	stallFound    chan struct{} // receives a value when the survey found a stalled instance
 	lease         *formation.Lease
-	watch         *quarantine.Watch
+	watch         *quarantine.Detector
 	gate          *backpressure.Gate
 	loadReporters atomic.Int64 // number of daemons in the last report of loads
-	keeper        *quarantine.Keeper
+	keeper        *quarantine.Persister
 	stopping      atomic.Bool
 	startedAt     time.Time
 	// refusedLoaded is true once this process has read the store's record of refused requests or
@@ -306,7 +306,7 @@
 		now := d.Clock.Now()
 		d.pool.Sweep(now)
 		d.picker.Sweep(d.runClock.Now())
-		d.watch.Sweep()
+		d.watch.Prune()
 		d.gate.Sweep(now)
 	}
 }
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -110,7 +110,7 @@
 // stalledOrEndedHeads lists the heads that this daemon's streams show to be stalled or to have
 // ended: a process that ends breaks its streams off, and none of them stalls.
 func (d *Daemon) stalledOrEndedHeads(time.Time) []string {
-	out := append(d.picker.RecentlyStalled(d.runClock.Now()), d.watch.EndedLately()...)
+	out := append(d.picker.RecentlyStalled(d.runClock.Now()), d.watch.RecentlyCrashed()...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -34,7 +34,7 @@
 	w := httptest.NewRecorder()
 	return &exchange{w: w,
 		gateway: &Gateway{Codec: testCodec{}, Gate: gate, Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }),
-			Quarantine: quarantine.NewWatch(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
+			Quarantine: quarantine.NewDetector(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
 			Metrics:    NewMetrics(metrics.NewSet()), Log: zap.NewNop(), View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{} }},
 		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}, w
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -65,7 +65,7 @@
 	Gate *backpressure.Gate
 	// Quarantine tracks which requests crash instances. Later requests with the same content are
 	// refused.
-	Quarantine *quarantine.Watch
+	Quarantine *quarantine.Detector
 	// Clock is the time source; nil means the system clock.
 	Clock *steady.Clock
 	// RunClock measures how long instances are silent and stops while this process is not
@@ -375,7 +375,7 @@
 		Withhold:      x.withholdFunc(t),
 		IsOwnResponse: func(status int, h http.Header) bool { return x.gateway.Codec.IsResponseTo(x.req.ID, status, h) },
 	}
-	x.watchedSend = x.gateway.Quarantine.Begin(quarantine.Life{Instance: t.Instance, Born: t.StartedAt}, t.Address, x.workspace, x.digest, onQuarantine)
+	x.watchedSend = x.gateway.Quarantine.StartSend(quarantine.Incarnation{Instance: t.Instance, StartedAt: t.StartedAt}, t.Address, x.workspace, x.digest, onQuarantine)
 	resp, err := x.gateway.Pool.Do(ctx, call)
 	if err != nil && (errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrBusy)) {
 		return nil, err
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -57,7 +57,7 @@
 			return 0
 		})
 	}
-	resp, err := x.send(attempt, t, x.req.LastEventID, func() { cancel(quarantine.ErrRefused) })
+	resp, err := x.send(attempt, t, x.req.LastEventID, func() { cancel(quarantine.ErrQuarantined) })
 	defer x.endSend()
 	if err != nil {
 		return x.plainSendFailed(attempt, t, err)
@@ -87,7 +87,7 @@
 	if x.route.Repeatable() {
 		return false
 	}
-	if errors.Is(context.Cause(attempt), quarantine.ErrRefused) {
+	if errors.Is(context.Cause(attempt), quarantine.ErrQuarantined) {
 		x.failUnanswered(reasonEndedInstances)
 		return true
 	}
@@ -134,7 +134,7 @@
 	}
 	if x.sends[len(x.sends)-1].outcome == "" {
 		x.recordEnd("answered")
-		x.gateway.Quarantine.Good(x.digest)
+		x.gateway.Quarantine.RecordSuccess(x.digest)
 	}
 	x.writeHeader(resp, len(body))
 	_, _ = x.w.Write(body) // fails only if the caller disconnected
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -18,7 +18,7 @@
 // it did. The refusal is final: it doesn't say that the request has not run, and it carries no
 // Retry-After.
 func (x *exchange) refuseQuarantined() bool {
-	if !x.gateway.Quarantine.Refuses(x.digest) {
+	if !x.gateway.Quarantine.Quarantined(x.digest) {
 		return false
 	}
 	x.reason = reasonEndedInstances
@@ -32,5 +32,5 @@
 // recordBrokenSend records that the last send's connection ended before a complete response.
 func (x *exchange) recordBrokenSend() {
 	x.brokenSends++
-	x.watchedSend.Broke()
+	x.watchedSend.ConnectionLost()
 }
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -29,7 +29,7 @@
 		Codec: testCodec{}, Gate: newGate(), Picker: dispatch.NewPicker("", func(int) int { return 0 }), Budgets: &dispatch.Budgets{},
 		Limits: func() Limits { return Limits{} }, Stopping: func() bool { return false }, View: func() *fleet.View { return nil },
 		Metrics: NewMetrics(metrics.NewSet()), Log: zap.NewNop(),
-		Quarantine: quarantine.NewWatch(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
+		Quarantine: quarantine.NewDetector(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
 		Starting:   func() bool { return !configKnown.Load() },
 		Config: func() Config {
 			if configKnown.Load() {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -76,7 +76,7 @@
 	if x.hasLastEventID {
 		lastSeen = strconv.FormatInt(x.lastEventID, 10)
 	}
-	resp, err := x.send(attempt, t, lastSeen, func() { cancel(quarantine.ErrRefused) })
+	resp, err := x.send(attempt, t, lastSeen, func() { cancel(quarantine.ErrQuarantined) })
 	defer x.endSend()
 	if err != nil {
 		x.streamSendFailed(attempt, t, err)
@@ -106,7 +106,7 @@
 		return false
 	}
 	x.recordEnd("answered")
-	x.gateway.Quarantine.Good(x.digest)
+	x.gateway.Quarantine.RecordSuccess(x.digest)
 	return true
 }
 
--- a/internal/quarantine/detect.go
+++ b/internal/quarantine/detect.go
@@ -14,8 +14,8 @@
 	"pearlanding/internal/pause"
 )
 
-// ErrRefused is the cause with which sends of a quarantined content are canceled.
-const ErrRefused = errors.ConstError("quarantine: this request crashed the instances that ran it")
+// ErrQuarantined is the cause with which sends of a quarantined content are canceled.
+const ErrQuarantined = errors.ConstError("quarantine: this request crashed the instances that ran it")
 
 // Parameters of the detection.
 const (
@@ -32,11 +32,11 @@
 // connections a moment before it stops listening.
 var probeDelays = []time.Duration{2 * time.Millisecond, 40 * time.Millisecond}
 
-// Watch detects the instance crashes that this daemon's own sends run into. A crash is an
+// Detector detects the instance crashes that this daemon's own sends run into. A crash is an
 // address that refuses connections right after a connection to it broke off. A partitioned
 // instance or one without power answers nothing, and one that only breaks connections off or
 // corrupts answers accepts new connections; neither counts as a crash.
-type Watch struct {
+type Detector struct {
 	Evidence *Evidence
 	Probe    func(ctx context.Context, address string) error // tries to connect
 	Now      func() time.Time
@@ -45,12 +45,12 @@
 	crashes          atomic.Uint64 // detected by this daemon
 	mu               sync.Mutex
 	sends            map[*Send]struct{}
-	suspectedCrashes map[Life]*suspectedCrash
+	suspectedCrashes map[Incarnation]*suspectedCrash
 }
 
-// NewWatch returns a detector that records crashes in e.
-func NewWatch(e *Evidence, probe func(ctx context.Context, address string) error, now func() time.Time, log *zap.Logger) *Watch {
-	return &Watch{Evidence: e, Probe: probe, Now: now, Log: log, sends: map[*Send]struct{}{}, suspectedCrashes: map[Life]*suspectedCrash{}}
+// NewDetector returns a detector that records crashes in e.
+func NewDetector(e *Evidence, probe func(ctx context.Context, address string) error, now func() time.Time, log *zap.Logger) *Detector {
+	return &Detector{Evidence: e, Probe: probe, Now: now, Log: log, sends: map[*Send]struct{}{}, suspectedCrashes: map[Incarnation]*suspectedCrash{}}
 }
 
 // suspectedCrash is an incarnation with broken connections.
@@ -62,8 +62,8 @@
 
 // Send is one request in progress at an instance.
 type Send struct {
-	detector     *Watch
-	incarnation  Life
+	detector     *Detector
+	incarnation  Incarnation
 	address      string
 	workspace    string
 	digest       func() Digest // safe for concurrent use
@@ -74,9 +74,9 @@
 	cleared      bool      // the answer brought events for clearedAfter
 }
 
-// Begin registers the send of a request to an instance. cancel is called if the content is
+// StartSend registers the send of a request to an instance. cancel is called if the content is
 // quarantined before the answer's first event.
-func (det *Watch) Begin(incarnation Life, address, workspace string, digest func() Digest, cancel func()) *Send {
+func (det *Detector) StartSend(incarnation Incarnation, address, workspace string, digest func() Digest, cancel func()) *Send {
 	s := &Send{detector: det, incarnation: incarnation, address: address, workspace: workspace, digest: digest, cancel: cancel, sentAt: det.Now()}
 	det.mu.Lock()
 	defer det.mu.Unlock()
@@ -96,7 +96,7 @@
 	s.cleared = s.cleared || cleared
 	s.mu.Unlock()
 	if cleared {
-		s.detector.Good(s.digest)
+		s.detector.RecordSuccess(s.digest)
 	}
 }
 
@@ -107,9 +107,9 @@
 	delete(s.detector.sends, s)
 }
 
-// Broke notes that the send's connection ended before the answer was complete. The content
+// ConnectionLost notes that the send's connection ended before the answer was complete. The content
 // becomes a suspect unless the answer has brought events for clearedAfter.
-func (s *Send) Broke() {
+func (s *Send) ConnectionLost() {
 	now := s.detector.Now()
 	s.mu.Lock()
 	cleared := !s.firstEventAt.IsZero() && now.Sub(s.firstEventAt) >= clearedAfter
@@ -119,9 +119,9 @@
 	}
 }
 
-// Good records that a content ran without a crash. It computes no digest while there are no
+// RecordSuccess records that a content ran without a crash. It computes no digest while there are no
 // records.
-func (det *Watch) Good(digest func() Digest) {
+func (det *Detector) RecordSuccess(digest func() Digest) {
 	if det.Evidence.Empty() {
 		return
 	}
@@ -131,14 +131,14 @@
 	}
 }
 
-// Refuses reports whether a request's content is quarantined and must not be sent.
-func (det *Watch) Refuses(digest func() Digest) bool {
-	return !det.Evidence.Empty() && det.Evidence.Refuses(digest())
+// Quarantined reports whether a request's content is quarantined and must not be sent.
+func (det *Detector) Quarantined(digest func() Digest) bool {
+	return !det.Evidence.Empty() && det.Evidence.Quarantined(digest())
 }
 
 // addSuspect adds a suspect to the suspected crash of an incarnation. The first suspect starts
 // the probe; one that comes after the crash was confirmed is recorded at once.
-func (det *Watch) addSuspect(s *Send, suspect Suspect, now time.Time) {
+func (det *Detector) addSuspect(s *Send, suspect Suspect, now time.Time) {
 	det.mu.Lock()
 	crash := det.suspectedCrashes[s.incarnation]
 	first := crash == nil
@@ -153,7 +153,7 @@
 	det.mu.Unlock()
 	switch {
 	case confirmed:
-		det.enforce(det.Evidence.Ended(s.incarnation, at, []Suspect{suspect}))
+		det.enforce(det.Evidence.RecordCrash(s.incarnation, at, []Suspect{suspect}))
 	case first:
 		go det.verifyCrash(s.incarnation, s.address)
 	}
@@ -161,7 +161,7 @@
 
 // verifyCrash probes an instance. If the instance has crashed it records the crash with its
 // suspects, otherwise it drops them.
-func (det *Watch) verifyCrash(incarnation Life, address string) {
+func (det *Detector) verifyCrash(incarnation Incarnation, address string) {
 	confirmed := det.refusesConnections(address)
 	det.mu.Lock()
 	crash := det.suspectedCrashes[incarnation]
@@ -175,9 +175,9 @@
 	at, suspects := crash.at, crash.suspects
 	crash.suspects = nil
 	det.mu.Unlock()
-	det.Log.Info("instance crashed with requests in progress", zap.String("instance", incarnation.Instance), zap.Int64("born", incarnation.Born),
+	det.Log.Info("instance crashed with requests in progress", zap.String("instance", incarnation.Instance), zap.Int64("born", incarnation.StartedAt),
 		zap.Int("suspects", len(suspects)), zap.Strings("contents", shortDigests(suspects)))
-	det.enforce(det.Evidence.Ended(incarnation, at, suspects))
+	det.enforce(det.Evidence.RecordCrash(incarnation, at, suspects))
 }
 
 // maxLoggedContents bounds the contents listed in one log line.
@@ -193,7 +193,7 @@
 
 // refusesConnections reports whether a probe of the address fails with ECONNREFUSED. Another
 // failure ends the probing, a success is followed by the next probe.
-func (det *Watch) refusesConnections(address string) bool {
+func (det *Detector) refusesConnections(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	for _, delay := range probeDelays {
@@ -209,15 +209,15 @@
 	return false
 }
 
-// Ends returns the number of crashes that this daemon detected.
-func (det *Watch) Ends() uint64 { return det.crashes.Load() }
+// Crashes returns the number of crashes that this daemon detected.
+func (det *Detector) Crashes() uint64 { return det.crashes.Load() }
 
 // recentCrashWindow is how long a crash is reported to the daemon that plans the groups.
 const recentCrashWindow = time.Second
 
-// EndedLately lists the ids of instances whose crash this daemon detected within
+// RecentlyCrashed lists the ids of instances whose crash this daemon detected within
 // recentCrashWindow, in order.
-func (det *Watch) EndedLately() (ids []string) {
+func (det *Detector) RecentlyCrashed() (ids []string) {
 	now := det.Now()
 	det.mu.Lock()
 	defer det.mu.Unlock()
@@ -230,16 +230,16 @@
 	return ids
 }
 
-// Since calls Evidence.UpdatesSince with the current time.
-func (det *Watch) Since(seq uint64, clusterWide bool) (updates []Word, upTo uint64) {
+// UpdatesSince calls Evidence.UpdatesSince with the current time.
+func (det *Detector) UpdatesSince(seq uint64, clusterWide bool) (updates []Update, upTo uint64) {
 	return det.Evidence.UpdatesSince(seq, clusterWide, det.Now())
 }
 
 // Seq calls Evidence.Seq.
-func (det *Watch) Seq() (all, clusterWide uint64) { return det.Evidence.Seq() }
+func (det *Detector) Seq() (all, clusterWide uint64) { return det.Evidence.Seq() }
 
 // Merge applies another daemon's updates and enforces the quarantines that follow from them.
-func (det *Watch) Merge(updates []Word) {
+func (det *Detector) Merge(updates []Update) {
 	if len(updates) > 0 {
 		det.enforce(det.Evidence.Merge(updates, det.Now()))
 	}
@@ -247,7 +247,7 @@
 
 // enforce logs contents that were just quarantined and cancels their sends that have had no
 // event yet.
-func (det *Watch) enforce(digests []Digest) {
+func (det *Detector) enforce(digests []Digest) {
 	for _, d := range digests {
 		det.Log.Warn("request quarantined", zap.String("decision", "send_it_to_no_instance"), zap.String("content", d.Short()),
 			zap.String("digest", d.String()), zap.Object("evidence", det.Evidence.summary(d)))
@@ -263,7 +263,7 @@
 }
 
 // sendsWithoutEvents lists the sends that have had no event yet.
-func (det *Watch) sendsWithoutEvents() (out []*Send) {
+func (det *Detector) sendsWithoutEvents() (out []*Send) {
 	det.mu.Lock()
 	defer det.mu.Unlock()
 	for s := range det.sends {
@@ -276,8 +276,8 @@
 	return out
 }
 
-// Sweep removes expired records and crashes.
-func (det *Watch) Sweep() {
+// Prune removes expired records and crashes.
+func (det *Detector) Prune() {
 	now := det.Now()
 	det.Evidence.Prune(now)
 	det.mu.Lock()
--- a/internal/quarantine/detect_test.go
+++ b/internal/quarantine/detect_test.go
@@ -17,7 +17,7 @@
 
 // testDetector is a detector whose clock the test moves and whose probes return probeErr.
 type testDetector struct {
-	*Watch
+	*Detector
 	probes   atomic.Int64
 	mu       sync.Mutex
 	probeErr error
@@ -26,7 +26,7 @@
 
 func newTestDetector(probeErr error) *testDetector {
 	det := &testDetector{probeErr: probeErr, now: startTime}
-	det.Watch = NewWatch(NewEvidence(), func(context.Context, string) error {
+	det.Detector = NewDetector(NewEvidence(), func(context.Context, string) error {
 		det.probes.Add(1)
 		return det.probeErr
 	}, func() time.Time {
@@ -46,7 +46,7 @@
 
 // send begins a send of a content to the n-th instance.
 func (det *testDetector) send(n int, d Digest, cancel func()) *Send {
-	return det.Begin(incarnationOf(n), "address", "w", func() Digest { return d }, cancel)
+	return det.StartSend(incarnationOf(n), "address", "w", func() Digest { return d }, cancel)
 }
 
 func (det *testDetector) suspected() int {
@@ -69,18 +69,18 @@
 		det := newTestDetector(probeErr)
 		for i := range 5 {
 			s := det.send(i, poison, func() {})
-			s.Broke()
+			s.ConnectionLost()
 			s.Done()
 			det.advance(time.Second)
 		}
 		eventually(t, "all instances are probed", func() bool { return det.probes.Load() >= 5 })
 		must.Zero(t, det.suspected())
-		must.Zero(t, det.Ends())
+		must.Zero(t, det.Crashes())
 	}
 	det := newTestDetector(errConnRefused)
-	det.send(1, poison, func() {}).Broke()
+	det.send(1, poison, func() {}).ConnectionLost()
 	eventually(t, "the request is suspected", func() bool { return det.suspected() == 1 })
-	must.Eq(t, 1, det.Ends())
+	must.Eq(t, 1, det.Crashes())
 }
 
 // All requests that a daemon had in progress at an instance share one probe, also those whose
@@ -91,11 +91,11 @@
 	cleared.Event(det.Now())
 	det.advance(clearedAfter)
 	for i := range 5 {
-		det.send(1, digestOf("other", i), func() {}).Broke()
+		det.send(1, digestOf("other", i), func() {}).ConnectionLost()
 	}
-	cleared.Broke()
+	cleared.ConnectionLost()
 	eventually(t, "the five requests are suspected", func() bool { return det.suspected() == 5 })
-	det.send(1, digestOf("late", 0), func() {}).Broke()
+	det.send(1, digestOf("late", 0), func() {}).ConnectionLost()
 	eventually(t, "the late request is suspected", func() bool { return det.suspected() == 6 })
 	must.Eq(t, 1, det.probes.Load())
 }
@@ -106,9 +106,9 @@
 	var waiting, running, other atomic.Int64
 	for i := range 3 {
 		s := det.send(i, poison, func() {})
-		s.Broke()
+		s.ConnectionLost()
 		s.Done()
-		eventually(t, "the crash is detected", func() bool { return det.Ends() == uint64(i+1) })
+		eventually(t, "the crash is detected", func() bool { return det.Crashes() == uint64(i+1) })
 		if i < 2 {
 			det.advance(time.Second)
 		}
@@ -121,18 +121,18 @@
 	eventually(t, "the send without an event is canceled", func() bool { return waiting.Load() == 1 })
 	must.Zero(t, running.Load())
 	must.Zero(t, other.Load())
-	must.True(t, det.Refuses(func() Digest { return poison }))
+	must.True(t, det.Quarantined(func() Digest { return poison }))
 }
 
 // No digest is computed while there are no records.
 func TestNoDigestIsComputedBeforeACrash(t *testing.T) {
 	det := newTestDetector(nil)
 	digest := func() Digest { t.Fatal("digested"); return Digest{} }
-	s := det.Begin(incarnationOf(0), "address", "w", digest, func() {})
-	must.False(t, det.Refuses(digest))
+	s := det.StartSend(incarnationOf(0), "address", "w", digest, func() {})
+	must.False(t, det.Quarantined(digest))
 	s.Event(det.Now())
 	det.advance(time.Second)
 	s.Event(det.Now())
 	s.Done()
-	det.Good(digest)
+	det.RecordSuccess(digest)
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -33,15 +33,15 @@
 	suspicionTTL = 10 * time.Minute
 )
 
-// Life identifies one run of an instance under its id.
-type Life struct {
-	Instance string `json:"instance"`
-	Born     int64  `json:"born,omitempty"` // Unix ms of the start; 0: unknown
+// Incarnation identifies one run of an instance under its id.
+type Incarnation struct {
+	Instance  string `json:"instance"`
+	StartedAt int64  `json:"born,omitempty"` // Unix ms of the start; 0: unknown
 }
 
 // Crash is the crash of an instance while a content was in progress there.
 type Crash struct {
-	Incarnation Life
+	Incarnation Incarnation
 	At          time.Time
 	Sent        time.Time // when the request was sent to the instance
 }
@@ -104,17 +104,17 @@
 // Changed is signalled after each change; signals may be merged. It serves one receiver.
 func (e *Evidence) Changed() <-chan struct{} { return e.changed }
 
-// Refuses reports whether a content is quarantined and must not be sent.
-func (e *Evidence) Refuses(d Digest) bool {
+// Quarantined reports whether a content is quarantined and must not be sent.
+func (e *Evidence) Quarantined(d Digest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.records[d]
 	return r != nil && r.quarantined()
 }
 
-// Ended records that an instance crashed with suspects in progress, and returns the contents
+// RecordCrash records that an instance crashed with suspects in progress, and returns the contents
 // that this puts into quarantine.
-func (e *Evidence) Ended(incarnation Life, at time.Time, suspects []Suspect) []Digest {
+func (e *Evidence) RecordCrash(incarnation Incarnation, at time.Time, suspects []Suspect) []Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range suspects {
@@ -206,7 +206,7 @@
 
 // countUnexplained returns the number of independent crashes at incarnations that are not
 // explained.
-func (r *record) countUnexplained(explained map[Life]bool) int {
+func (r *record) countUnexplained(explained map[Incarnation]bool) int {
 	n := 0
 	var last Crash
 	for _, crash := range r.crashes {
@@ -224,7 +224,7 @@
 // has the most. Crashes that a quarantined content explains no longer count against the others that
 // were in progress there. e.mu is held.
 func (e *Evidence) quarantineCulprits(now time.Time) (quarantined []Digest) {
-	explained := map[Life]bool{}
+	explained := map[Incarnation]bool{}
 	for _, r := range e.records {
 		if r.quarantined() {
 			r.addIncarnations(explained)
@@ -245,7 +245,7 @@
 }
 
 // addIncarnations adds the incarnations at which the content was in progress at a crash.
-func (r *record) addIncarnations(explained map[Life]bool) {
+func (r *record) addIncarnations(explained map[Incarnation]bool) {
 	for _, crash := range r.crashes {
 		explained[crash.Incarnation] = true
 	}
@@ -253,7 +253,7 @@
 
 // strongestSuspect returns the content with the most unexplained crashes, if these are enough
 // for a quarantine; e.mu is held.
-func (e *Evidence) strongestSuspect(explained map[Life]bool) (suspect Digest, found bool) {
+func (e *Evidence) strongestSuspect(explained map[Incarnation]bool) (suspect Digest, found bool) {
 	most := CrashesToQuarantine - 1
 	for d, r := range e.records {
 		if len(r.crashes) < CrashesToQuarantine || r.quarantined() {
@@ -284,7 +284,7 @@
 	return false
 }
 
-func (r *record) hasCrash(incarnation Life) bool {
+func (r *record) hasCrash(incarnation Incarnation) bool {
 	return slices.ContainsFunc(r.crashes, func(crash Crash) bool { return crash.Incarnation == incarnation })
 }
 
--- a/internal/quarantine/evidence_test.go
+++ b/internal/quarantine/evidence_test.go
@@ -18,7 +18,7 @@
 // at returns the time s seconds after the start of a test.
 func at(s float64) time.Time { return startTime.Add(time.Duration(s * float64(time.Second))) }
 
-func incarnationOf(n int) Life { return Life{fmt.Sprint("i-", n), int64(n)} }
+func incarnationOf(n int) Incarnation { return Incarnation{fmt.Sprint("i-", n), int64(n)} }
 
 // suspectsAt returns suspects that were sent 100 ms before a crash.
 func suspectsAt(crash time.Time, contents ...Digest) (out []Suspect) {
@@ -34,8 +34,8 @@
 	e := NewEvidence()
 	must.True(t, e.Empty())
 	for i := range 3 {
-		must.False(t, e.Refuses(poison))
-		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison, digestOf("other", i)))
+		must.False(t, e.Quarantined(poison))
+		e.RecordCrash(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison, digestOf("other", i)))
 	}
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 }
@@ -44,24 +44,24 @@
 func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	e := NewEvidence()
 	for i := range 9 {
-		e.Ended(incarnationOf(i), at(0.01*float64(i)), suspectsAt(at(0), poison))
+		e.RecordCrash(incarnationOf(i), at(0.01*float64(i)), suspectsAt(at(0), poison))
 	}
 	must.SliceEmpty(t, e.QuarantinedDigests())
 	// A retry that was sent after the last crash counts, however soon.
-	e.Ended(incarnationOf(9), at(0.12), []Suspect{{poison, "w", at(0.1)}})
-	e.Ended(incarnationOf(10), at(0.14), []Suspect{{poison, "w", at(0.13)}})
+	e.RecordCrash(incarnationOf(9), at(0.12), []Suspect{{poison, "w", at(0.1)}})
+	e.RecordCrash(incarnationOf(10), at(0.14), []Suspect{{poison, "w", at(0.13)}})
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 }
 
 func TestSuccessClearsEarlierCrashes(t *testing.T) {
 	e := NewEvidence()
-	e.Ended(incarnationOf(0), at(0), suspectsAt(at(0), poison))
-	e.Ended(incarnationOf(1), at(1), suspectsAt(at(1), poison))
+	e.RecordCrash(incarnationOf(0), at(0), suspectsAt(at(0), poison))
+	e.RecordCrash(incarnationOf(1), at(1), suspectsAt(at(1), poison))
 	e.RecordSuccess(poison, at(2))
-	e.Ended(incarnationOf(2), at(3), suspectsAt(at(3), poison))
-	e.Ended(incarnationOf(3), at(4), suspectsAt(at(4), poison))
+	e.RecordCrash(incarnationOf(2), at(3), suspectsAt(at(3), poison))
+	e.RecordCrash(incarnationOf(3), at(4), suspectsAt(at(4), poison))
 	must.SliceEmpty(t, e.QuarantinedDigests())
-	e.Ended(incarnationOf(4), at(5), suspectsAt(at(5), poison))
+	e.RecordCrash(incarnationOf(4), at(5), suspectsAt(at(5), poison))
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 	must.True(t, e.RecordSuccess(poison, at(6)))
 	must.SliceEmpty(t, e.QuarantinedDigests())
@@ -73,12 +73,12 @@
 func TestBystanderIsNotQuarantined(t *testing.T) {
 	e := NewEvidence()
 	for i := range 3 {
-		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison, bystander))
+		e.RecordCrash(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison, bystander))
 	}
 	must.SliceEmpty(t, e.QuarantinedDigests())
-	e.Ended(incarnationOf(3), at(3), suspectsAt(at(3), poison))
+	e.RecordCrash(incarnationOf(3), at(3), suspectsAt(at(3), poison))
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
-	e.Ended(incarnationOf(4), at(4), suspectsAt(at(4), poison, bystander))
+	e.RecordCrash(incarnationOf(4), at(4), suspectsAt(at(4), poison, bystander))
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 	late := NewEvidence()
 	updates, _ := e.UpdatesSince(0, false, at(5))
@@ -91,7 +91,7 @@
 func TestReleasedContentIsQuarantinedAgainOnlyByNewCrashes(t *testing.T) {
 	e, stale := NewEvidence(), NewEvidence()
 	for i := range 3 {
-		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
+		e.RecordCrash(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
 	}
 	updates, _ := e.UpdatesSince(0, false, at(3))
 	stale.Merge(updates, at(3))
@@ -109,7 +109,7 @@
 	must.SliceEmpty(t, stale.QuarantinedDigests())
 	for i := range 3 {
 		must.SliceEmpty(t, e.QuarantinedDigests())
-		e.Ended(incarnationOf(10+i), at(float64(10+i)), suspectsAt(at(float64(10+i)), poison))
+		e.RecordCrash(incarnationOf(10+i), at(float64(10+i)), suspectsAt(at(float64(10+i)), poison))
 	}
 	must.Eq(t, []Digest{poison}, e.QuarantinedDigests())
 }
@@ -119,12 +119,12 @@
 	e := NewEvidence()
 	twice := digestOf("twice", 0)
 	for i := range 3 {
-		e.Ended(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
+		e.RecordCrash(incarnationOf(i), at(float64(i)), suspectsAt(at(float64(i)), poison))
 	}
 	for i := range 2 {
-		e.Ended(incarnationOf(5+i), at(float64(5+i)), suspectsAt(at(float64(5+i)), twice))
+		e.RecordCrash(incarnationOf(5+i), at(float64(5+i)), suspectsAt(at(float64(5+i)), twice))
 	}
-	e.Ended(incarnationOf(9), at(9), suspectsAt(at(9), bystander))
+	e.RecordCrash(incarnationOf(9), at(9), suspectsAt(at(9), bystander))
 	must.True(t, e.HasUnsaved())
 	s := e.Snapshot(at(10))
 	must.Len(t, 2, s.Contents)
@@ -138,8 +138,8 @@
 	restarted.LoadSnapshot(parsed, at(60))
 	must.False(t, restarted.HasUnsaved())
 	must.Eq(t, []Digest{poison}, restarted.QuarantinedDigests())
-	restarted.Ended(incarnationOf(20), at(61), suspectsAt(at(61), twice))
-	must.True(t, restarted.Refuses(twice))
+	restarted.RecordCrash(incarnationOf(20), at(61), suspectsAt(at(61), twice))
+	must.True(t, restarted.Quarantined(twice))
 	must.True(t, restarted.HasUnsaved())
 	_, err = ParseSnapshot([]byte(`{"contents": 7}`))
 	must.Error(t, err)
@@ -149,17 +149,17 @@
 func TestLimitsAreFairBetweenWorkspaces(t *testing.T) {
 	e := NewEvidence()
 	small := digestOf("small", 0)
-	e.Ended(incarnationOf(0), at(0), []Suspect{{small, "small", at(0)}})
+	e.RecordCrash(incarnationOf(0), at(0), []Suspect{{small, "small", at(0)}})
 	for i := range maxSuspected + 500 {
-		e.Ended(incarnationOf(0), at(1), []Suspect{{digestOf("many", i), "large", at(0)}})
+		e.RecordCrash(incarnationOf(0), at(1), []Suspect{{digestOf("many", i), "large", at(0)}})
 	}
 	e.Prune(at(2))
 	suspected, quarantined := e.Counts()
 	must.Eq(t, maxSuspected, suspected)
 	must.Zero(t, quarantined)
-	e.Ended(incarnationOf(1), at(3), []Suspect{{small, "small", at(2)}})
-	e.Ended(incarnationOf(2), at(4), []Suspect{{small, "small", at(4)}})
-	must.True(t, e.Refuses(small))
+	e.RecordCrash(incarnationOf(1), at(3), []Suspect{{small, "small", at(2)}})
+	e.RecordCrash(incarnationOf(2), at(4), []Suspect{{small, "small", at(4)}})
+	must.True(t, e.Quarantined(small))
 	e.Prune(at(4).Add(suspicionTTL + time.Second))
 	suspected, quarantined = e.Counts()
 	must.Zero(t, suspected)
@@ -177,7 +177,7 @@
 		if i > 2 {
 			when = at(10 + float64(i)/10000)
 		}
-		[]*Evidence{a, b}[i%2].Ended(incarnationOf(i), when, suspectsAt(when, poison))
+		[]*Evidence{a, b}[i%2].RecordCrash(incarnationOf(i), when, suspectsAt(when, poison))
 	}
 	var seenA, seenB uint64
 	for round := range 5 {
@@ -196,7 +196,7 @@
 	a.LoadSnapshot(b.Snapshot(at(1002)), at(1003))
 	seqAfter, _ := a.Seq()
 	must.Eq(t, seqBefore, seqAfter)
-	must.True(t, a.Refuses(poison))
+	must.True(t, a.Quarantined(poison))
 }
 
 // In whatever order daemons exchange updates, once none has an update left for another, all
@@ -226,7 +226,7 @@
 			case 1, 2:
 				send(rng.IntN(3), rng.IntN(3))
 			default:
-				e.Ended(incarnationOf(i), now, suspectsAt(now, d, digestOf("c", rng.IntN(4))))
+				e.RecordCrash(incarnationOf(i), now, suspectsAt(now, d, digestOf("c", rng.IntN(4))))
 			}
 		}
 		for range 20 {
--- a/internal/quarantine/operator.go
+++ b/internal/quarantine/operator.go
@@ -14,7 +14,7 @@
 // Errors of Release. Compare with errors.Is.
 const (
 	// ErrNotRefused: no quarantined content has a digest with this prefix; nothing was changed.
-	ErrNotRefused = errors.ConstError("no quarantined request has this digest")
+	ErrNotQuarantined = errors.ConstError("no quarantined request has this digest")
 	// ErrAmbiguous: several quarantined contents have a digest with this prefix; nothing was
 	// changed.
 	ErrAmbiguous = errors.ConstError("several quarantined requests have digests with this prefix")
@@ -46,7 +46,7 @@
 
 // Release lifts the quarantine of the content whose digest begins with prefix, so that its
 // requests are sent again. The daemons learn of it from their relays' next listing. It fails
-// with ErrNotRefused, ErrAmbiguous and the errors of ParseSnapshot and objectapi.Store; after
+// with ErrNotQuarantined, ErrAmbiguous and the errors of ParseSnapshot and objectapi.Store; after
 // ErrUnknownOutcome the content may have been released.
 func Release(ctx context.Context, feed objectapi.Feed, key, prefix string, now time.Time) (Digest, error) {
 	for attempt := 1; ; attempt++ {
@@ -71,18 +71,18 @@
 }
 
 // findByPrefix returns the digest of the only quarantined content whose digest begins with
-// prefix. It fails with ErrNotRefused or ErrAmbiguous; an empty prefix matches no content.
+// prefix. It fails with ErrNotQuarantined or ErrAmbiguous; an empty prefix matches no content.
 func (s *Snapshot) findByPrefix(prefix string) (found Digest, err error) {
 	matches := 0
 	for i := range s.Contents {
-		if c := &s.Contents[i]; c.Refuses() && prefix != "" && strings.HasPrefix(c.Digest.String(), prefix) {
+		if c := &s.Contents[i]; c.Quarantined() && prefix != "" && strings.HasPrefix(c.Digest.String(), prefix) {
 			found = c.Digest
 			matches++
 		}
 	}
 	switch matches {
 	case 0:
-		return Digest{}, ErrNotRefused
+		return Digest{}, ErrNotQuarantined
 	case 1:
 		return found, nil
 	}
--- a/internal/quarantine/persist.go
+++ b/internal/quarantine/persist.go
@@ -28,40 +28,40 @@
 	standaloneReadInterval = time.Second
 )
 
-// Keeper saves to the store what must survive a restart of all daemons, and loads what other
+// Persister saves to the store what must survive a restart of all daemons, and loads what other
 // daemons saved. While no instance crashes it makes no call to the store, except for the
 // regular reads of a daemon that no other daemon sends updates to.
-type Keeper struct {
-	Feed  objectapi.Feed
-	Key   string // of the quarantine record in the store
-	Watch *Watch
-	// Writes reports whether this daemon saves for its zone.
-	Writes func() bool
-	// Alone is set if no other daemon sends updates to this one. It then polls the store.
-	Alone bool
+type Persister struct {
+	Feed     objectapi.Feed
+	Key      string // of the quarantine record in the store
+	Detector *Detector
+	// IsWriter reports whether this daemon saves for its zone.
+	IsWriter func() bool
+	// Standalone is set if no other daemon sends updates to this one. It then polls the store.
+	Standalone bool
 	// Uniform returns a random duration in [low, high).
-	Uniform func(low, high time.Duration) time.Duration
-	Wall    func() time.Time // time of day, noted for operators
-	Log     *zap.Logger
-	// Kick is signalled when the evidence has changed.
-	Kick chan struct{}
+	Uniform   func(low, high time.Duration) time.Duration
+	WallClock func() time.Time // time of day, noted for operators
+	Log       *zap.Logger
+	// Wake is signalled when the evidence has changed.
+	Wake chan struct{}
 }
 
 // Run saves and loads until ctx ends.
-func (p *Keeper) Run(ctx context.Context) {
+func (p *Persister) Run(ctx context.Context) {
 	wait := checkInterval
 	for ctx.Err() == nil {
 		p.waitForChange(ctx, wait)
 		wait = checkInterval
-		if p.Alone {
+		if p.Standalone {
 			wait = standaloneReadInterval
 			p.read(ctx)
 		}
-		if !p.Writes() || !p.Watch.Evidence.HasUnsaved() {
+		if !p.IsWriter() || !p.Detector.Evidence.HasUnsaved() {
 			continue
 		}
 		pause.For(ctx, p.Uniform(0, writeJitter))
-		if !p.Watch.Evidence.HasUnsaved() {
+		if !p.Detector.Evidence.HasUnsaved() {
 			continue
 		}
 		if err := p.save(ctx); err != nil {
@@ -73,7 +73,7 @@
 
 // waitForChange waits until the evidence changes, at most for d. If d is shorter than
 // checkInterval, after a failed write or on a daemon that polls the store, it waits for all of d.
-func (p *Keeper) waitForChange(ctx context.Context, d time.Duration) {
+func (p *Persister) waitForChange(ctx context.Context, d time.Duration) {
 	if d < checkInterval {
 		pause.For(ctx, d)
 		return
@@ -82,25 +82,25 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-p.Kick:
+	case <-p.Wake:
 	case <-ctx.Done():
 	}
 }
 
-// Take merges a quarantine record that the caller read from the store and enforces the
+// Load merges a quarantine record that the caller read from the store and enforces the
 // quarantines that follow from it. It fails with the errors of ParseSnapshot.
-func (p *Keeper) Take(value []byte) error {
+func (p *Persister) Load(value []byte) error {
 	s, err := ParseSnapshot(value)
 	if err != nil {
 		return err
 	}
-	p.Watch.enforce(p.Watch.Evidence.LoadSnapshot(s, p.Watch.Now()))
+	p.Detector.enforce(p.Detector.Evidence.LoadSnapshot(s, p.Detector.Now()))
 	return nil
 }
 
 // read reads and merges the store's record and returns its version, 0 if there is none. A record
 // that cannot be parsed is logged only: the next write replaces it.
-func (p *Keeper) read(ctx context.Context) (version uint64, err error) {
+func (p *Persister) read(ctx context.Context) (version uint64, err error) {
 	o, err := p.Feed.Get(ctx, p.Key)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return 0, nil
@@ -108,7 +108,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := p.Take(o.Value); err != nil {
+	if err := p.Load(o.Value); err != nil {
 		p.Log.Error("invalid quarantine record in the store; it will be replaced", zap.Error(err))
 	}
 	return o.Version, nil
@@ -116,12 +116,12 @@
 
 // save merges the store's record and writes it back with this daemon's changes. A conflict or
 // a write whose outcome is unknown is no special case, as the next save reads the record again.
-func (p *Keeper) save(ctx context.Context) error {
+func (p *Persister) save(ctx context.Context) error {
 	version, err := p.read(ctx)
-	if err != nil || !p.Watch.Evidence.HasUnsaved() {
+	if err != nil || !p.Detector.Evidence.HasUnsaved() {
 		return err
 	}
-	s := p.Watch.Evidence.Snapshot(p.Wall())
+	s := p.Detector.Evidence.Snapshot(p.WallClock())
 	value, err := json.Marshal(s)
 	if err != nil {
 		return errors.Trace(err)
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	p.Watch.Evidence.MarkSaved(s, p.Watch.Now())
+	p.Detector.Evidence.MarkSaved(s, p.Detector.Now())
 	p.Log.Info("quarantine saved to the store", zap.Int("contents", len(s.Contents)))
 	return nil
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -27,7 +27,7 @@
 }
 
 type replica struct {
-	incarnation Life
+	incarnation Incarnation
 	running     []*execution
 	backAt      time.Time
 }
@@ -65,7 +65,7 @@
 	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1e6, 0), evidence: NewEvidence(), propagationDelay: 50 * time.Millisecond,
 		known: map[Digest]bool{}}
 	for i := range replicas {
-		s.replicas = append(s.replicas, &replica{incarnation: Life{fmt.Sprint("i-", i), 0}})
+		s.replicas = append(s.replicas, &replica{incarnation: Incarnation{fmt.Sprint("i-", i), 0}})
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 
 // send sends a request to one of the two least loaded replicas, unless it is quarantined.
 func (s *simulation) send(r *request) {
-	if s.known[r.digest] && s.evidence.Refuses(r.digest) {
+	if s.known[r.digest] && s.evidence.Quarantined(r.digest) {
 		return
 	}
 	var up []*replica
@@ -158,7 +158,7 @@
 			suspects = append(suspects, Suspect{exec.request.digest, "w", exec.sent})
 		}
 	}
-	for _, quarantined := range s.evidence.Ended(rep.incarnation, s.now, suspects) {
+	for _, quarantined := range s.evidence.RecordCrash(rep.incarnation, s.now, suspects) {
 		s.propagating = append(s.propagating, delayedDigest{s.now.Add(s.propagationDelay), quarantined})
 	}
 	for _, exec := range rep.running {
@@ -174,7 +174,7 @@
 		s.scheduled = append(s.scheduled, r)
 	}
 	s.restarts++
-	rep.running, rep.backAt, rep.incarnation.Born = nil, s.now.Add(restartDelay), s.restarts
+	rep.running, rep.backAt, rep.incarnation.StartedAt = nil, s.now.Add(restartDelay), s.restarts
 }
 
 // harmlessRequest returns a request with a content that no other request has.
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -16,15 +16,15 @@
 
 // StoredContent is one content of a Snapshot.
 type StoredContent struct {
-	Digest    Digest    `json:"digest"`
-	Workspace string    `json:"workspace,omitempty"`
-	Ends      []Life    `json:"ends,omitempty"`
-	Changed   time.Time `json:"changed"` // the writer's time of day, for operators only
+	Digest    Digest        `json:"digest"`
+	Workspace string        `json:"workspace,omitempty"`
+	Crashes   []Incarnation `json:"ends,omitempty"`
+	ChangedAt time.Time     `json:"changed"` // the writer's time of day, for operators only
 	counters
 }
 
-// Refuses reports whether the content is quarantined.
-func (c *StoredContent) Refuses() bool { return c.counters.quarantined() }
+// Quarantined reports whether the content is quarantined.
+func (c *StoredContent) Quarantined() bool { return c.counters.quarantined() }
 
 // ParseSnapshot parses the store's value; an empty value is an empty snapshot. It fails if the
 // value is not the JSON of a snapshot.
@@ -41,8 +41,8 @@
 func (s *Snapshot) Release(d Digest, now time.Time) bool {
 	for i := range s.Contents {
 		c := &s.Contents[i]
-		if c.Digest == d && c.Refuses() {
-			c.Released, c.Ends, c.Changed = c.Quarantines, nil, now
+		if c.Digest == d && c.Quarantined() {
+			c.Released, c.Crashes, c.ChangedAt = c.Quarantines, nil, now
 			return true
 		}
 	}
@@ -67,17 +67,17 @@
 // They are ignored if this daemon knows of a success or has the content in quarantine.
 func (e *Evidence) loadContent(c StoredContent, now time.Time) (quarantined bool) {
 	known := e.records[c.Digest]
-	u := Word{Digest: c.Digest, Workspace: c.Workspace, counters: c.counters}
+	u := Update{Digest: c.Digest, Workspace: c.Workspace, counters: c.counters}
 	if known == nil || known.lastSuccess.IsZero() && !known.quarantined() {
-		for i, incarnation := range c.Ends {
-			age := int64(len(c.Ends)-i) * independentInterval.Milliseconds()
+		for i, incarnation := range c.Crashes {
+			age := int64(len(c.Crashes)-i) * independentInterval.Milliseconds()
 			u.Crashes = append(u.Crashes, CrashUpdate{incarnation, age, age})
 		}
 	}
 	quarantined = e.mergeUpdate(u, now)
 	r := e.records[c.Digest]
 	r.stored.counters.merge(c.counters)
-	r.stored.crashes = max(r.stored.crashes, len(c.Ends))
+	r.stored.crashes = max(r.stored.crashes, len(c.Crashes))
 	return quarantined
 }
 
@@ -113,9 +113,9 @@
 		if !r.clusterWide() {
 			continue
 		}
-		c := StoredContent{Digest: d, Workspace: r.workspace, counters: r.counters, Changed: wall}
+		c := StoredContent{Digest: d, Workspace: r.workspace, counters: r.counters, ChangedAt: wall}
 		for _, crash := range r.crashes {
-			c.Ends = append(c.Ends, crash.Incarnation)
+			c.Crashes = append(c.Crashes, crash.Incarnation)
 		}
 		s.Contents = append(s.Contents, c)
 	}
@@ -131,7 +131,7 @@
 	for _, c := range s.Contents {
 		if r := e.records[c.Digest]; r != nil {
 			r.stored.counters.merge(c.counters)
-			r.stored.crashes = max(r.stored.crashes, len(c.Ends))
+			r.stored.crashes = max(r.stored.crashes, len(c.Crashes))
 			e.markChanged(r, r.clusterWide(), now)
 		}
 	}
--- a/internal/quarantine/updates.go
+++ b/internal/quarantine/updates.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Word is the state of one content as one daemon sends it to another. Times are sent as ages
+// Update is the state of one content as one daemon sends it to another. Times are sent as ages
 // in milliseconds before the message was built; the receiver subtracts them from the time at
 // which it arrived.
-type Word struct {
+type Update struct {
 	Digest       Digest        `json:"digest"`
 	Workspace    string        `json:"workspace,omitempty"`
 	Crashes      []CrashUpdate `json:"ends,omitempty"`
@@ -23,7 +23,7 @@
 
 // CrashUpdate is a Crash on the wire.
 type CrashUpdate struct {
-	Life
+	Incarnation
 	AgeMS     int64 `json:"age_ms"`
 	SentAgeMS int64 `json:"sent_age_ms"`
 }
@@ -34,7 +34,7 @@
 // UpdatesSince returns the state of the contents that changed after a sequence number, the
 // earliest changes first, and the sequence number up to which the receiver then knows all
 // changes. With clusterWide it leaves out the contents that only relays need.
-func (e *Evidence) UpdatesSince(seq uint64, clusterWide bool, now time.Time) (updates []Word, upTo uint64) {
+func (e *Evidence) UpdatesSince(seq uint64, clusterWide bool, now time.Time) (updates []Update, upTo uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	type changedRecord struct {
@@ -68,8 +68,8 @@
 }
 
 // update returns the record as an update for other daemons.
-func (r *record) update(d Digest, now time.Time) Word {
-	u := Word{Digest: d, Workspace: r.workspace, counters: r.counters, StoredCrashes: r.stored.crashes, Stored: r.stored.counters}
+func (r *record) update(d Digest, now time.Time) Update {
+	u := Update{Digest: d, Workspace: r.workspace, counters: r.counters, StoredCrashes: r.stored.crashes, Stored: r.stored.counters}
 	for _, crash := range r.crashes {
 		u.Crashes = append(u.Crashes, CrashUpdate{crash.Incarnation, now.Sub(crash.At).Milliseconds(), now.Sub(crash.Sent).Milliseconds()})
 	}
@@ -81,7 +81,7 @@
 
 // Merge applies another daemon's updates and returns the contents that they put into
 // quarantine.
-func (e *Evidence) Merge(updates []Word, now time.Time) (quarantined []Digest) {
+func (e *Evidence) Merge(updates []Update, now time.Time) (quarantined []Digest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, u := range updates {
@@ -94,7 +94,7 @@
 
 // mergeUpdate applies one update and reports whether its counters put the content into
 // quarantine; e.mu is held.
-func (e *Evidence) mergeUpdate(u Word, now time.Time) bool {
+func (e *Evidence) mergeUpdate(u Update, now time.Time) bool {
 	r := e.getOrCreate(u.Digest, u.Workspace)
 	wasQuarantined, wasClusterWide := r.quarantined(), r.clusterWide()
 	stale := u.Released < r.Released // sent before a release that this daemon knows
@@ -109,7 +109,7 @@
 	}
 	for _, crash := range u.Crashes {
 		if !stale {
-			e.addCrash(r, Crash{crash.Life, msBefore(now, crash.AgeMS), msBefore(now, crash.SentAgeMS)}, now)
+			e.addCrash(r, Crash{crash.Incarnation, msBefore(now, crash.AgeMS), msBefore(now, crash.SentAgeMS)}, now)
 		}
 	}
 	r.stored.counters.merge(u.Stored)
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -16,19 +16,19 @@
 // Quarantine holds what a daemon knows of requests that crash instances. Its methods are safe
 // for concurrent use.
 type Quarantine interface {
-	// Since returns the updates after a sequence number, and the number that they lead to. With
+	// UpdatesSince returns the updates after a sequence number, and the number that they lead to. With
 	// clusterWide set it leaves out updates that only relays need.
-	Since(seq uint64, clusterWide bool) (updates []quarantine.Word, upTo uint64)
+	UpdatesSince(seq uint64, clusterWide bool) (updates []quarantine.Update, upTo uint64)
 	// Seq returns the sequence number of the last update, and of the last one that all daemons
 	// must have.
 	Seq() (all, clusterWide uint64)
-	Merge(updates []quarantine.Word)
+	Merge(updates []quarantine.Update)
 }
 
 // QuarantineRequest carries the caller's updates and asks for those that it has not seen.
 type QuarantineRequest struct {
-	From    string            `json:"from"` // identifies the caller, unique for each process
-	Updates []quarantine.Word `json:"words,omitempty"`
+	From    string              `json:"from"` // identifies the caller, unique for each process
+	Updates []quarantine.Update `json:"words,omitempty"`
 	// The caller has received the updates of process SeenOf up to number SeenSeq.
 	SeenOf      string `json:"of"`
 	SeenSeq     uint64 `json:"seen"`
@@ -37,9 +37,9 @@
 
 // QuarantineReply carries what the daemon knew before the request.
 type QuarantineReply struct {
-	From    string            `json:"from"` // identifies the daemon, unique for each process
-	Updates []quarantine.Word `json:"words,omitempty"`
-	Seq     uint64            `json:"seq"` // number that the updates lead to
+	From    string              `json:"from"` // identifies the daemon, unique for each process
+	Updates []quarantine.Update `json:"words,omitempty"`
+	Seq     uint64              `json:"seq"` // number that the updates lead to
 }
 
 // answerQuarantine answers another daemon, whether or not this one reaches the store.
@@ -48,7 +48,7 @@
 	if r.SeenOf != n.opts.Holder {
 		r.SeenSeq = 0
 	}
-	updates, seq := q.Since(r.SeenSeq, r.ClusterWide)
+	updates, seq := q.UpdatesSince(r.SeenSeq, r.ClusterWide)
 	q.Merge(r.Updates)
 	return QuarantineReply{n.opts.Holder, updates, seq}, nil
 }
@@ -90,7 +90,7 @@
 	q := n.opts.Quarantine
 	for range maxSyncRounds {
 		state := n.syncStates.get(address)
-		updates, sent := q.Since(state.sent, false)
+		updates, sent := q.UpdatesSince(state.sent, false)
 		r, err := n.opts.Peers.SyncQuarantine(ctx, address, QuarantineRequest{From: n.opts.Holder, Updates: updates, SeenOf: state.peerID, SeenSeq: state.received, ClusterWide: clusterWide})
 		if err != nil {
 			return err
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -19,14 +19,14 @@
 	Transport
 	now     time.Time
 	nodes   map[string]*Node // by address
-	watches map[string]*quarantine.Watch
+	watches map[string]*quarantine.Detector
 	dead    map[string]bool
 	calls   int
 }
 
 // newMultiZone returns zones a and b, each with a relay and two daemons that follow it.
 func newMultiZone() *multiZone {
-	c := &multiZone{now: start, nodes: map[string]*Node{}, watches: map[string]*quarantine.Watch{}, dead: map[string]bool{}}
+	c := &multiZone{now: start, nodes: map[string]*Node{}, watches: map[string]*quarantine.Detector{}, dead: map[string]bool{}}
 	for _, zone := range []string{"a", "b"} {
 		for _, name := range []string{zone, zone + "1", zone + "2"} {
 			n := c.startDaemon(zone, name)
@@ -42,7 +42,7 @@
 
 // startDaemon starts a daemon.
 func (c *multiZone) startDaemon(zone, name string) *Node {
-	w := quarantine.NewWatch(quarantine.NewEvidence(), nil, func() time.Time { return c.now }, zap.NewNop())
+	w := quarantine.NewDetector(quarantine.NewEvidence(), nil, func() time.Time { return c.now }, zap.NewNop())
 	c.watches[name] = w
 	c.nodes[name] = NewNode(Options{Key: "relays/" + zone, Address: name, Holder: fmt.Sprint(name, c.now), Peers: c, Quarantine: w,
 		Now: func() time.Time { return c.now }, Log: zap.NewNop(), Direct: func() bool { return false }})
@@ -85,7 +85,7 @@
 // crash lets an instance crash under a request, as one daemon sees it.
 func (c *multiZone) crash(daemon string, instance int) {
 	c.now = c.now.Add(time.Second)
-	c.watches[daemon].Evidence.Ended(quarantine.Life{Instance: fmt.Sprint("i-", instance)}, c.now,
+	c.watches[daemon].Evidence.RecordCrash(quarantine.Incarnation{Instance: fmt.Sprint("i-", instance)}, c.now,
 		[]quarantine.Suspect{{Digest: content, Workspace: "w", Sent: c.now.Add(-time.Millisecond)}})
 }
 
@@ -94,7 +94,7 @@
 // refusingDaemons lists the daemons that refuse the content.
 func (c *multiZone) refusingDaemons() (names []string) {
 	for _, name := range []string{"a", "a1", "a2", "b", "b1", "b2"} {
-		if c.watches[name].Evidence.Refuses(content) {
+		if c.watches[name].Evidence.Quarantined(content) {
 			names = append(names, name)
 		}
 	}
