--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -117,7 +117,7 @@
 	calls         *countedFeed
 	relay         *relay.Node // nil: this daemon has no address for peers
 	peers         *relay.Peers
-	survey        *relay.Survey
+	survey        *relay.StallSurvey
 	stallFound    chan struct{} // receives a value when the survey found a stalled instance
 	lease         *formation.Lease
 	watch         *quarantine.Detector
@@ -204,7 +204,7 @@
 	entries := d.Platform.Feed
 	if s.PeerAddress != "" {
 		d.relay = d.newRelay(s, holder)
-		entries, d.config.onRead, d.config.serving, d.config.hasRelay = d.relay, d.relay.NoteConfig, d.relay.Serving, d.relay.Relayed
+		entries, d.config.onRead, d.config.serving, d.config.hasRelay = d.relay, d.relay.NoteConfig, d.relay.ServesPeers, d.relay.FollowsRelay
 		if s.Bootstrap {
 			d.config.startWait = bootstrapWait
 		}
@@ -292,7 +292,7 @@
 			if d.relay == nil {
 				return 0
 			}
-			return d.relay.Settles()
+			return d.relay.MaxSearchDelay()
 		}(),
 		Log:     d.Log,
 		Metrics: d.Metrics,
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -118,7 +118,7 @@
 // relay returns the index of the relay, 0 if there is none.
 func (j *leavingChecker) relay() int {
 	for i, d := range j.zone.daemons {
-		if d.relay.Holding() {
+		if d.relay.IsRelay() {
 			return i
 		}
 	}
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -49,9 +49,9 @@
 // followMode returns how this daemon follows the instances.
 func (d *Daemon) followMode() followMode {
 	switch {
-	case d.relay != nil && d.relay.Serving():
+	case d.relay != nil && d.relay.ServesPeers():
 		return followAsRelay
-	case d.relay != nil && d.relay.Relayed():
+	case d.relay != nil && d.relay.FollowsRelay():
 		return followRelayed
 	}
 	return followDirect
@@ -62,9 +62,9 @@
 	switch {
 	case d.relay == nil || d.planning():
 		return maxProbeIntervalDirect
-	case d.relay.Holding():
+	case d.relay.IsRelay():
 		return maxProbeIntervalRelay
-	case d.relay.Told():
+	case d.relay.RelayAnswered():
 		return maxProbeIntervalRelayed
 	}
 	return maxProbeIntervalDirect
@@ -89,20 +89,20 @@
 func (d *Daemon) newRelay(s Settings, holder string) *relay.Node {
 	d.peers = relay.NewPeers()
 	if d.dial != nil {
-		d.peers = relay.NewPeersOver(d.dial)
+		d.peers = relay.NewPeersWithDialer(d.dial)
 	}
 	d.stallFound = make(chan struct{}, 1)
-	d.survey = &relay.Survey{Ask: d.peers.Standing, Active: d.planning, Now: d.Clock.Now, News: d.stallFound, Relays: func(ctx context.Context) ([]string, error) {
+	d.survey = &relay.StallSurvey{Ask: d.peers.Stalled, Active: d.planning, Now: d.Clock.Now, NewStalls: d.stallFound, ListRelays: func(ctx context.Context) ([]string, error) {
 		l, err := d.Platform.Feed.ListKind(ctx, relayKind)
-		return relay.Addresses(l), err
+		return relay.RelayAddresses(l), err
 	}}
 	return relay.NewNode(relay.Options{
-		Traffic: relay.Traffic{Spare: d.budgets.TakeSpareRetries, InFlight: d.picker.InFlight, Progress: d.progress, Stops: d.picker.Stalls(), Loaded: d.takeLoads, Rule: d.poolRule},
+		Traffic: relay.Traffic{TakeSpareRetries: d.budgets.TakeSpareRetries, InFlight: d.picker.InFlight, GroupProgress: d.progress, Stalls: d.picker.Stalls(), OnLoads: d.takeLoads, RetryPoolRule: d.poolRule},
 		Store:   d.Platform.Feed, Kind: d.Platform.InstancesKind, Key: relayKind + "/" + s.Zone, Holder: holder, Address: s.PeerAddress, LinkMbps: s.LinkMbps,
-		Peers: d.peers, Direct: d.planning, Confirm: d.config.confirm, Returned: d.config.storeRecovered,
-		Stale:     func() time.Duration { return d.drainShare(staleShare, defaultStaleAfter) },
-		Standing:  d.stalledOrEndedHeads,
-		Bootstrap: s.Bootstrap, Quarantine: d.watch, Gate: d.gate, Listed: d.takeRelayListing,
+		Peers: d.peers, MustFollowStore: d.planning, OnConfigProof: d.config.confirm, OnRelayUsed: d.config.storeRecovered,
+		StaleAfter:       func() time.Duration { return d.drainShare(staleShare, defaultStaleAfter) },
+		StalledInstances: d.stalledOrEndedHeads,
+		Bootstrap:        s.Bootstrap, Quarantine: d.watch, Gate: d.gate, OnRecordsListed: d.takeRelayListing,
 		Uniform: d.uniform, Now: d.Clock.Now, Log: d.Log,
 	})
 }
@@ -129,16 +129,16 @@
 
 // newExchange returns the loop that exchanges loads with the other daemons; while this daemon
 // relays, it exchanges them with the relays of the other zones.
-func (d *Daemon) newExchange() *relay.Exchange {
-	return &relay.Exchange{Node: d.relay, List: func(ctx context.Context) (objectapi.Listing, error) {
+func (d *Daemon) newExchange() *relay.LoadExchange {
+	return &relay.LoadExchange{Node: d.relay, ListRecords: func(ctx context.Context) (objectapi.Listing, error) {
 		return d.Platform.Feed.ListStale(ctx, relayKind)
 	}}
 }
 
 // newSpread returns the loop that exchanges evidence about requests that crash instances with
 // other daemons.
-func (d *Daemon) newSpread() *relay.Spread {
-	return &relay.Spread{Node: d.relay, List: func(ctx context.Context) (objectapi.Listing, error) {
+func (d *Daemon) newSpread() *relay.QuarantineSync {
+	return &relay.QuarantineSync{Node: d.relay, ListRecords: func(ctx context.Context) (objectapi.Listing, error) {
 		return d.Platform.Feed.ListKind(ctx, relayKind)
 	}}
 }
@@ -151,12 +151,12 @@
 
 // borrow asks the zone's pool for a repeat of a service and reports whether it got one.
 func (d *Daemon) borrow(ctx context.Context, service string) bool {
-	return d.relay != nil && d.relay.Repeat(ctx, service)
+	return d.relay != nil && d.relay.TakeRetry(ctx, service)
 }
 
 // mayBorrow reports whether the zone's pool probably has a repeat of a service.
 func (d *Daemon) mayBorrow(service string) bool {
-	return d.relay != nil && d.relay.MayRepeat(service)
+	return d.relay != nil && d.relay.RetryAvailable(service)
 }
 
 // stalledHeads lists the heads of groups that are stalled for this daemon or for others.
@@ -190,7 +190,7 @@
 		return plannerUpdatePause
 	}
 	if d.relay != nil {
-		if relayPause := d.relay.Pace(); relayPause > 0 {
+		if relayPause := d.relay.PauseAfterChanges(); relayPause > 0 {
 			return relayPause
 		}
 	}
--- a/internal/front/quarantine.go
+++ b/internal/front/quarantine.go
@@ -16,7 +16,7 @@
 	d.watch = quarantine.NewDetector(evidence, d.pool.Probe, d.Clock.Now, d.Log)
 	d.keeper = &quarantine.Persister{
 		Feed: d.Platform.Feed, Key: RefusedRequestsKey, Detector: d.watch, Standalone: s.PeerAddress == "",
-		IsWriter: func() bool { return d.relay == nil || d.relay.Holding() || d.relay.Unheard() },
+		IsWriter: func() bool { return d.relay == nil || d.relay.IsRelay() || d.relay.RelayUnresponsive() },
 		Uniform:  d.uniform, WallClock: d.Clock.Now, Log: d.Log, Wake: make(chan struct{}, 1),
 	}
 	d.Metrics.GetOrCreateGauge("pearlanding_instances_ended", func() float64 { return float64(d.watch.Crashes()) })
@@ -45,7 +45,7 @@
 			return
 		case <-d.watch.Evidence.Changed():
 			if d.relay != nil {
-				d.relay.Kick()
+				d.relay.SyncNow()
 			}
 			select {
 			case d.keeper.Wake <- struct{}{}:
--- a/internal/front/recovery_test.go
+++ b/internal/front/recovery_test.go
@@ -180,7 +180,7 @@
 func (j *configChecker) injectFault(kind int, between func(low, high time.Duration) time.Duration) {
 	relay := j.zone.daemons[0]
 	for _, d := range j.zone.daemons {
-		if d.relay.Holding() {
+		if d.relay.IsRelay() {
 			relay = d
 		}
 	}
--- a/internal/front/start_test.go
+++ b/internal/front/start_test.go
@@ -130,7 +130,7 @@
 		defer b.zone.shutdown(cancel)
 		relay := -1
 		for i, d := range b.zone.daemons {
-			if d.relay.Holding() {
+			if d.relay.IsRelay() {
 				relay = i
 			}
 		}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -23,11 +23,11 @@
 
 // shareRequest returns this daemon's report of its own requests, without spare retry credit.
 func (n *Node) shareRequest(now time.Time) ShareRequest {
-	stalled, active := n.opts.Traffic.Progress(now)
+	stalled, active := n.opts.Traffic.GroupProgress(now)
 	if len(stalled) > maxReported {
 		stalled = nil // with so many, this daemon is probably cut off itself
 	}
-	return ShareRequest{From: n.opts.Holder, Loads: n.opts.Traffic.InFlight(), StalledGroups: toRefs(stalled), ActiveGroups: toRefs(active), StalledInstances: n.opts.Standing(now)}
+	return ShareRequest{From: n.opts.Holder, Loads: n.opts.Traffic.InFlight(), StalledGroups: toRefs(stalled), ActiveGroups: toRefs(active), StalledInstances: n.opts.StalledInstances(now)}
 }
 
 // answerShare answers a peer.
@@ -50,7 +50,7 @@
 	if !n.isActiveRelay() {
 		return ShareReply{}, totalLoad{}, jrpc2.Errorf(codeNotRelaying, "not relaying")
 	}
-	now, rule := n.now(), n.opts.Traffic.Rule()
+	now, rule := n.now(), n.opts.Traffic.RetryPoolRule()
 	n.share.loads.note(r, now)
 	if len(r.StalledInstances) > 0 {
 		n.reports.note(r.From, r.StalledInstances, now)
@@ -62,17 +62,17 @@
 		Limits: n.opts.Gate.Updates(now), QuarantineSeq: n.clusterWideSeq()}, sum, err
 }
 
-// Exchange sends this daemon's load to the others and receives theirs: through its relay, or,
+// LoadExchange sends this daemon's load to the others and receives theirs: through its relay, or,
 // on a relay, from the relays of the other zones.
-type Exchange struct {
-	Node *Node
-	List func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
+type LoadExchange struct {
+	Node        *Node
+	ListRecords func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
 
 	listedAt time.Time
 }
 
 // Run exchanges loads until ctx ends.
-func (x *Exchange) Run(ctx context.Context) {
+func (x *LoadExchange) Run(ctx context.Context) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
 	for {
@@ -81,7 +81,7 @@
 			return
 		case <-tick.C:
 			x.runOnce(ctx)
-		case <-x.Node.opts.Traffic.Stops:
+		case <-x.Node.opts.Traffic.Stalls:
 			x.runOnce(ctx)
 			tick.Reset(shareInterval)
 			pause.For(ctx, minReportInterval)
@@ -99,10 +99,10 @@
 const minReportInterval = 50 * time.Millisecond
 
 // runOnce makes one exchange.
-func (x *Exchange) runOnce(ctx context.Context) {
+func (x *LoadExchange) runOnce(ctx context.Context) {
 	n := x.Node
 	now := n.now()
-	if n.Serving() || n.Holding() && !n.opts.Gate.HasNoLimits() {
+	if n.ServesPeers() || n.IsRelay() && !n.opts.Gate.HasNoLimits() {
 		x.refreshRelays(ctx, now)
 	}
 	timed, cancel := context.WithTimeout(ctx, shareTimeout)
@@ -110,8 +110,8 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	wait.Go(func() { x.syncLimits(timed) })
-	if n.Serving() {
-		n.share.pool.Add(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
+	if n.ServesPeers() {
+		n.share.pool.Add(n.opts.Traffic.TakeSpareRetries(now), n.opts.Traffic.RetryPoolRule(), now)
 		x.collectZoneLoads(timed)
 		return
 	}
@@ -122,13 +122,13 @@
 
 // shareWithRelay sends this daemon's load to the relay and merges the loads of the others from
 // the reply.
-func (x *Exchange) shareWithRelay(ctx context.Context, relay string, now time.Time) {
+func (x *LoadExchange) shareWithRelay(ctx context.Context, relay string, now time.Time) {
 	n := x.Node
 	request := n.shareRequest(now)
-	request.Retries = n.opts.Traffic.Spare(now)
+	request.Retries = n.opts.Traffic.TakeSpareRetries(now)
 	r, err := n.opts.Peers.Share(ctx, relay, request)
 	if err != nil {
-		if n.opts.Direct() {
+		if n.opts.MustFollowStore() {
 			n.share.setSyncDue(relay, true) // the planner polls no relay, so nothing else would notice a missed update
 		}
 		return // the last report counts until it expires; a daemon that polls this relay notices the loss there
@@ -136,22 +136,22 @@
 	n.share.setLevels(r.Retries, n.now())
 	n.opts.Gate.Merge(r.Limits, backpressure.ReceivedAt{Earliest: now, Latest: n.now()})
 	n.noteClusterWideSeq(relay, r.QuarantineSeq)
-	n.opts.Traffic.Loaded(dispatch.PeerReports{Daemons: r.Daemons, InFlight: subtract(r.Loads, request.Loads), StalledGroups: toSet(r.StalledGroups)}, n.now())
+	n.opts.Traffic.OnLoads(dispatch.PeerReports{Daemons: r.Daemons, InFlight: subtract(r.Loads, request.Loads), StalledGroups: toSet(r.StalledGroups)}, n.now())
 }
 
 // refreshRelays lists the relays if the last listing is older than relayListInterval.
-func (x *Exchange) refreshRelays(ctx context.Context, now time.Time) {
+func (x *LoadExchange) refreshRelays(ctx context.Context, now time.Time) {
 	if now.Sub(x.listedAt) <= relayListInterval {
 		return
 	}
-	if l, err := x.List(ctx); err == nil {
+	if l, err := x.ListRecords(ctx); err == nil {
 		x.Node.noteRecords(l)
 	}
 	x.listedAt = now // an error is counted with the store's calls; the old list stays
 }
 
 // collectZoneLoads asks all other relays in parallel for the loads of their zones.
-func (x *Exchange) collectZoneLoads(ctx context.Context) {
+func (x *LoadExchange) collectZoneLoads(ctx context.Context) {
 	n := x.Node
 	addresses := n.otherRelays()
 	replies := make([]LoadsReply, len(addresses))
@@ -176,5 +176,5 @@
 	n.share.loads.setRemote(remote, stalled, daemons)
 	n.share.loads.note(n.shareRequest(now), now)
 	_, all := n.share.loads.countDaemons(now)
-	n.opts.Traffic.Loaded(dispatch.PeerReports{Daemons: all, InFlight: n.share.loads.totalExcept(n.opts.Holder, now), StalledGroups: toSet(n.share.loads.allStalledGroups(now))}, now)
+	n.opts.Traffic.OnLoads(dispatch.PeerReports{Daemons: all, InFlight: n.share.loads.totalExcept(n.opts.Holder, now), StalledGroups: toSet(n.share.loads.allStalledGroups(now))}, now)
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -49,14 +49,14 @@
 // granting permits long after it was replaced.
 func (n *Node) grantsPermits() bool {
 	relay := n.zoneRelay()
-	return n.Holding() && (relay == "" || relay == n.opts.Address)
+	return n.IsRelay() && (relay == "" || relay == n.opts.Address)
 }
 
 // permitShares returns the share of each limit that this daemon's zone may grant.
 func (n *Node) permitShares() backpressure.Shares {
 	n.knownRelays.mu.Lock()
 	defer n.knownRelays.mu.Unlock()
-	return backpressure.Shares{Domain: zoneOfKey(n.opts.Key), Domains: n.knownRelays.zones, Count: n.opts.Traffic.Rule().Pools}
+	return backpressure.Shares{Domain: zoneOfKey(n.opts.Key), Domains: n.knownRelays.zones, Count: n.opts.Traffic.RetryPoolRule().Pools}
 }
 
 // zoneOfKey returns the zone whose record has a key.
@@ -79,10 +79,10 @@
 
 // syncLimits exchanges limit updates and gets permits: from the zone's relay or, on a relay,
 // from itself.
-func (x *Exchange) syncLimits(ctx context.Context) {
+func (x *LoadExchange) syncLimits(ctx context.Context) {
 	n, gate := x.Node, x.Node.opts.Gate
 	asked := n.now()
-	if n.Holding() {
+	if n.IsRelay() {
 		if n.grantsPermits() {
 			gate.AddPermits(n.grants.Grant(n.opts.Holder, gate.Limited(), n.permitShares(), asked), asked)
 		}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -57,7 +57,7 @@
 	other, remoteRelay, c, _ := zoneWithRelay(t)
 	relay.receiveLimit(2)
 	relay.opts.Peers, relay.opts.Address = other, "here" // both zones name their daemons alike
-	x := &Exchange{Node: relay.Node, List: recordsOf("here", remoteRelay.name, "nobody")}
+	x := &LoadExchange{Node: relay.Node, ListRecords: recordsOf("here", remoteRelay.name, "nobody")}
 	x.runOnce(t.Context())
 	must.Eq(t, map[backpressure.Incarnation]float64{limitedInstance: 2}, remoteRelay.opts.Gate.Limited())
 	other.exchangeAll()
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -88,7 +88,7 @@
 	defer timer.Stop()
 	for expired := false; ; {
 		entries, config, changed := n.history.proofs()
-		remaining := entries.Add(n.opts.Stale()).Sub(n.now())
+		remaining := entries.Add(n.opts.StaleAfter()).Sub(n.now())
 		if n.stopping.Load() {
 			return PollReply{}, jrpc2.Errorf(codeStopping, "stopping")
 		}
@@ -150,12 +150,12 @@
 // a sync at once.
 func (n *Node) noteClusterWideSeq(address string, seq uint64) {
 	if n.share.noteSeq(address, seq) {
-		n.Kick()
+		n.SyncNow()
 	}
 }
 
-// Kick starts an exchange of quarantine updates at once, without waiting for the next interval.
-func (n *Node) Kick() {
+// SyncNow starts an exchange of quarantine updates at once, without waiting for the next interval.
+func (n *Node) SyncNow() {
 	select {
 	case n.syncRequested <- struct{}{}:
 	default:
@@ -168,8 +168,8 @@
 // NewPeers returns a transport without connections.
 func NewPeers() *Peers { return &Peers{rpc: rpc.NewPeers(maxPollWait)} }
 
-// NewPeersOver returns a transport whose connections are made by dial.
-func NewPeersOver(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
+// NewPeersWithDialer returns a transport whose connections are made by dial.
+func NewPeersWithDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
 	p := NewPeers()
 	p.rpc.Dial = dial
 	return p
@@ -182,8 +182,8 @@
 	return out, err
 }
 
-// Standing asks a relay which instances are stalled in its zone.
-func (p *Peers) Standing(ctx context.Context, address string) (StalledReply, error) {
+// Stalled asks a relay which instances are stalled in its zone.
+func (p *Peers) Stalled(ctx context.Context, address string) (StalledReply, error) {
 	var out StalledReply
 	err := p.rpc.Call(ctx, address, methodStalled, nil, &out)
 	return out, err
--- a/internal/relay/protocol_test.go
+++ b/internal/relay/protocol_test.go
@@ -26,7 +26,7 @@
 	r, err := peers.Poll(ctx, l.Addr().String(), PollRequest{After: relay.revision, From: "x", StalledInstances: []string{"head"}})
 	must.NoError(t, err)
 	must.Eq(t, z.config[0].version, r.ConfigVersion)
-	s, err := peers.Standing(ctx, l.Addr().String())
+	s, err := peers.Stalled(ctx, l.Addr().String())
 	must.NoError(t, err)
 	must.Eq(t, []string{"head"}, s.Instances)
 	relay.Close()
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -121,12 +121,12 @@
 	minListInterval = time.Second
 )
 
-// Spread exchanges quarantine updates: a relay with the relays of all zones, any other daemon
+// QuarantineSync exchanges quarantine updates: a relay with the relays of all zones, any other daemon
 // with its own relay. Without new updates it makes no call, except one to each relay that it
 // never reached.
-type Spread struct {
-	Node *Node
-	List func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
+type QuarantineSync struct {
+	Node        *Node
+	ListRecords func(ctx context.Context) (objectapi.Listing, error) // lists the records of all zones
 
 	listedAt  time.Time
 	listedSeq uint64               // number of this daemon's last update when it listed the relays
@@ -134,7 +134,7 @@
 }
 
 // Run exchanges updates until ctx ends.
-func (s *Spread) Run(ctx context.Context) {
+func (s *QuarantineSync) Run(ctx context.Context) {
 	timer := time.NewTimer(syncRetryInterval)
 	defer timer.Stop()
 	for {
@@ -151,7 +151,7 @@
 }
 
 // nextDelay returns how long to wait until the next check, unless a sync is requested earlier.
-func (s *Spread) nextDelay() time.Duration {
+func (s *QuarantineSync) nextDelay() time.Duration {
 	if s.pending() || s.Node.relayLost() {
 		return syncRetryInterval
 	}
@@ -159,10 +159,10 @@
 }
 
 // pending reports whether this daemon has updates to send to a relay or to request from it.
-func (s *Spread) pending() bool {
+func (s *QuarantineSync) pending() bool {
 	n := s.Node
 	all, _ := n.opts.Quarantine.Seq()
-	if !n.Holding() {
+	if !n.IsRelay() {
 		relay, due := n.share.lastUsed()
 		return due || n.syncStates.get(relay).sent < all
 	}
@@ -171,14 +171,14 @@
 
 // needsSync reports whether a relay is missing updates of this daemon, of which all is the last,
 // or was never reached. A relay that was never reached is tried again after relayListInterval.
-func (s *Spread) needsSync(address string, all uint64) bool {
+func (s *QuarantineSync) needsSync(address string, all uint64) bool {
 	state := s.Node.syncStates.get(address)
 	return state.sent < all || state.peerID == "" && s.Node.now().Sub(s.triedAt[address]) > relayListInterval
 }
 
 // runOnce makes the exchanges that are due.
-func (s *Spread) runOnce(ctx context.Context) {
-	if s.Node.Holding() {
+func (s *QuarantineSync) runOnce(ctx context.Context) {
+	if s.Node.IsRelay() {
 		s.syncWithAllZones(ctx)
 	} else {
 		s.syncWithRelay(ctx)
@@ -186,7 +186,7 @@
 }
 
 // syncWithRelay exchanges updates with the zone's relay.
-func (s *Spread) syncWithRelay(ctx context.Context) {
+func (s *QuarantineSync) syncWithRelay(ctx context.Context) {
 	n := s.Node
 	relay, _ := n.share.lastUsed()
 	if !s.pending() {
@@ -215,7 +215,7 @@
 // syncWithRemoteZone sends the updates that the zone's own relay does not receive to another
 // zone's relay. The other daemons of this zone do the same, so that the crash counts of all add up
 // at that relay.
-func (s *Spread) syncWithRemoteZone(ctx context.Context, own string, all uint64) {
+func (s *QuarantineSync) syncWithRemoteZone(ctx context.Context, own string, all uint64) {
 	n := s.Node
 	for _, address := range n.otherRelays() {
 		if address != own && n.syncStates.get(address).sent < all && s.trySync(ctx, address, true) {
@@ -226,19 +226,19 @@
 
 // relayLost reports whether this daemon lost its relay. The lost relay may still receive
 // quarantine updates, but announces none to this daemon until it is used again.
-func (n *Node) relayLost() bool { return !n.Holding() && n.share.relayLost() }
+func (n *Node) relayLost() bool { return !n.IsRelay() && n.share.relayLost() }
 
-// Unheard reports whether the last quarantine sync of this daemon with its relay failed, or found
+// RelayUnresponsive reports whether the last quarantine sync of this daemon with its relay failed, or found
 // no relay. The daemon must then save durable quarantine records itself.
-func (n *Node) Unheard() bool { return n.relayUnresponsive.Load() }
+func (n *Node) RelayUnresponsive() bool { return n.relayUnresponsive.Load() }
 
 // syncWithAllZones exchanges updates with the relays of all zones.
-func (s *Spread) syncWithAllZones(ctx context.Context) {
+func (s *QuarantineSync) syncWithAllZones(ctx context.Context) {
 	n := s.Node
 	all, clusterWide := n.opts.Quarantine.Seq()
 	// A relay that peers poll lists the records regularly anyway, and learns from these listings
 	// of contents that were released from quarantine.
-	unpolled := clusterWide > 0 && !n.Serving() && n.now().Sub(s.listedAt) > relayListInterval
+	unpolled := clusterWide > 0 && !n.ServesPeers() && n.now().Sub(s.listedAt) > relayListInterval
 	if all > s.listedSeq || unpolled {
 		s.refreshRelays(ctx, all)
 	}
@@ -257,7 +257,7 @@
 
 // trySync exchanges updates with one daemon. It returns false if that daemon did not answer in
 // time.
-func (s *Spread) trySync(ctx context.Context, address string, clusterWide bool) bool {
+func (s *QuarantineSync) trySync(ctx context.Context, address string, clusterWide bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	return s.Node.syncQuarantine(ctx, address, clusterWide) == nil
@@ -265,13 +265,13 @@
 
 // refreshRelays lists the relays, to which updates up to a number are to be sent, unless they were
 // listed within minListInterval.
-func (s *Spread) refreshRelays(ctx context.Context, seq uint64) {
+func (s *QuarantineSync) refreshRelays(ctx context.Context, seq uint64) {
 	now := s.Node.now()
 	if now.Sub(s.listedAt) < minListInterval {
 		return
 	}
 	s.listedAt = now
-	l, err := s.List(ctx)
+	l, err := s.ListRecords(ctx)
 	if err != nil {
 		return // counted with the store's calls; the last listing stays
 	}
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -45,7 +45,7 @@
 	w := quarantine.NewDetector(quarantine.NewEvidence(), nil, func() time.Time { return c.now }, zap.NewNop())
 	c.watches[name] = w
 	c.nodes[name] = NewNode(Options{Key: "relays/" + zone, Address: name, Holder: fmt.Sprint(name, c.now), Peers: c, Quarantine: w,
-		Now: func() time.Time { return c.now }, Log: zap.NewNop(), Direct: func() bool { return false }})
+		Now: func() time.Time { return c.now }, Log: zap.NewNop(), MustFollowStore: func() bool { return false }})
 	c.nodes[name].noteRecords(c.listing())
 	return c.nodes[name]
 }
@@ -77,7 +77,7 @@
 		if relay, _ := n.share.lastUsed(); relay != "" && !c.dead[relay] {
 			n.noteClusterWideSeq(relay, c.nodes[relay].clusterWideSeq())
 		}
-		s := &Spread{Node: n, List: func(context.Context) (objectapi.Listing, error) { return c.listing(), nil }}
+		s := &QuarantineSync{Node: n, ListRecords: func(context.Context) (objectapi.Listing, error) { return c.listing(), nil }}
 		s.runOnce(context.Background())
 	}
 }
@@ -129,14 +129,14 @@
 	c := newMultiZone()
 	c.syncAll()
 	c.dead["a"] = true
-	must.False(t, c.nodes["a1"].Unheard())
+	must.False(t, c.nodes["a1"].RelayUnresponsive())
 	c.crash("a1", 1)
 	c.syncAll()
 	c.crash("a2", 2)
 	c.syncAll()
 	c.crash("a1", 3)
 	c.syncAll()
-	must.True(t, c.nodes["a1"].Unheard())
+	must.True(t, c.nodes["a1"].RelayUnresponsive())
 	must.Eq(t, []string{"a1", "b", "b1", "b2"}, c.refusingDaemons())
 	c.crash("a2", 4) // a2 then has another crash to send, and receives updates in return
 	c.syncAll()
@@ -145,7 +145,7 @@
 	c.syncAll()
 	c.syncAll()
 	must.SliceContains(t, c.refusingDaemons(), "a")
-	must.False(t, c.nodes["a1"].Unheard())
+	must.False(t, c.nodes["a1"].RelayUnresponsive())
 }
 
 // A relay process that restarts has none of the updates sent to its predecessor.
@@ -180,7 +180,7 @@
 		c.syncAllExcept("a2")
 	}
 	must.SliceNotContains(t, c.refusingDaemons(), "a2")
-	s := &Spread{Node: lost, List: func(context.Context) (objectapi.Listing, error) { return c.listing(), nil }}
+	s := &QuarantineSync{Node: lost, ListRecords: func(context.Context) (objectapi.Listing, error) { return c.listing(), nil }}
 	must.Eq(t, syncRetryInterval, s.nextDelay())
 	s.runOnce(context.Background())
 	must.SliceContains(t, c.refusingDaemons(), "a2")
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -24,8 +24,8 @@
 	LinkMbps   float64 `json:"link_mbps,omitempty"` // of its machine
 }
 
-// Addresses returns the addresses of the relays that a listing of the records names.
-func Addresses(l objectapi.Listing) []string {
+// RelayAddresses returns the addresses of the relays that a listing of the records names.
+func RelayAddresses(l objectapi.Listing) []string {
 	var out []string
 	for _, o := range l.Objects {
 		if address := addressOf(o); address != "" {
@@ -66,8 +66,8 @@
 
 // noteRecords applies a listing of the records.
 func (n *Node) noteRecords(l objectapi.Listing) {
-	if n.opts.Listed != nil {
-		n.opts.Listed(l)
+	if n.opts.OnRecordsListed != nil {
+		n.opts.OnRecordsListed(l)
 	}
 	n.distributeSnapshots.Store(slices.ContainsFunc(l.Objects, func(o objectapi.Object) bool { return readRecord(o).Distribute }))
 	var own record
@@ -79,7 +79,7 @@
 	}
 	n.knownRelays.mu.Lock()
 	defer n.knownRelays.mu.Unlock()
-	n.knownRelays.all, n.knownRelays.own, n.knownRelays.zones = Addresses(l), own.Address, zonesWithRelay(l)
+	n.knownRelays.all, n.knownRelays.own, n.knownRelays.zones = RelayAddresses(l), own.Address, zonesWithRelay(l)
 }
 
 // otherRelays returns the addresses of all relays except this daemon.
@@ -233,7 +233,7 @@
 	n.suspect = ""
 	n.knownRelays.setOwn(n.opts.Address)
 	n.nextSearchAt = n.now().Add(recheckInterval)
-	n.Kick() // relays of other zones may have updates that this daemon needs
+	n.SyncNow() // relays of other zones may have updates that this daemon needs
 }
 
 // useRelay makes another daemon the relay of this one.
@@ -242,8 +242,8 @@
 		n.opts.Log.Info("no longer the zone's relay", zap.String("relay", address))
 	}
 	n.opts.Log.Info("relay used", zap.String("relay", address))
-	if n.opts.Returned != nil {
-		n.opts.Returned()
+	if n.opts.OnRelayUsed != nil {
+		n.opts.OnRelayUsed()
 	}
 	n.relayAddress, n.suspect, n.configSeq, n.provedAt, n.relayUsedSince = address, "", 0, time.Time{}, n.now()
 	n.share.setRelay(address) // the planner does not poll it, but shares loads with it
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -33,7 +33,7 @@
 	must.Eq(t, writes, z.writes)
 	must.Eq(t, []*daemon{relay}, z.activeRelays())
 	for _, d := range z.daemons {
-		must.True(t, d == relay || d.Relayed())
+		must.True(t, d == relay || d.FollowsRelay())
 	}
 }
 
@@ -45,17 +45,17 @@
 	z.change("x", false)
 	z.stepAll(t, 1)
 	for _, d := range z.daemons {
-		must.True(t, d == dead || !d.Relayed() && len(d.state) == 1, must.Sprint("no daemon waits for a new relay"))
+		must.True(t, d == dead || !d.FollowsRelay() && len(d.state) == 1, must.Sprint("no daemon waits for a new relay"))
 	}
 	z.stepAll(t, 6)
 	must.Len(t, 1, z.activeRelays())
 	for _, d := range z.daemons {
-		must.True(t, d.dead || d.isActiveRelay() || d.Relayed())
+		must.True(t, d.dead || d.isActiveRelay() || d.FollowsRelay())
 	}
 	dead.restart() // it reads the record and polls the new relay
 	z.stepAll(t, 6)
 	must.Len(t, 1, z.activeRelays())
-	must.True(t, dead.Relayed())
+	must.True(t, dead.FollowsRelay())
 }
 
 // A relay that a part of the zone could not reach, and that was replaced, steps down when it
@@ -71,7 +71,7 @@
 	z.advance(recheckInterval)
 	z.stepAll(t, 3)
 	must.Len(t, 1, z.activeRelays())
-	must.True(t, old.Relayed())
+	must.True(t, old.FollowsRelay())
 }
 
 func TestStoppingRelayIsReplaced(t *testing.T) {
@@ -164,7 +164,7 @@
 			step()
 		}
 		for _, d := range z.daemons {
-			must.True(t, d == relay || d.Relayed(), must.Sprint("away for ", 100+extraTicks, " ticks"))
+			must.True(t, d == relay || d.FollowsRelay(), must.Sprint("away for ", 100+extraTicks, " ticks"))
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	started := time.Now()
 	must.NoError(t, other.step())
 	must.Less(t, 300*time.Millisecond, time.Since(started))
-	must.False(t, other.Relayed())
+	must.False(t, other.FollowsRelay())
 	must.Eq(t, z.state(), other.state)
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -111,16 +111,16 @@
 	// LinkMbps is the rate of this machine's link in Mbit/s.
 	LinkMbps float64
 	Peers    Transport
-	// Stale returns the age beyond which a proof of the entries is too old to serve requests.
-	Stale func() time.Duration
-	// Direct reports whether this daemon must follow the store itself now.
-	Direct func() bool
-	// Confirm is called with a version of the configuration's object and a time at which the
+	// StaleAfter returns the age beyond which a proof of the entries is too old to serve requests.
+	StaleAfter func() time.Duration
+	// MustFollowStore reports whether this daemon must follow the store itself now.
+	MustFollowStore func() bool
+	// OnConfigProof is called with a version of the configuration's object and a time at which the
 	// object had that version.
-	Confirm func(version uint64, proved time.Time)
+	OnConfigProof func(version uint64, proved time.Time)
 	// Returned, if set, is called when this daemon begins to use a relay, be it a lost one that
 	// answers again or another one: such a relay should reach the store.
-	Returned func()
+	OnRelayUsed func()
 	// Traffic connects this daemon's requests to what the zone shares.
 	Traffic Traffic
 	// Gate keeps what this daemon knows of instances that limit their request rate.
@@ -128,12 +128,12 @@
 	// Quarantine is what this daemon knows of requests that crash instances; nil: nothing.
 	Quarantine Quarantine
 	// Listed, if set, is called with each listing of the records of all zones.
-	Listed func(l objectapi.Listing)
+	OnRecordsListed func(l objectapi.Listing)
 	// Bootstrap is set if all daemons start together, so that no zone has a relay yet.
 	Bootstrap bool
-	// Standing lists the instances whose running streams recently stopped making progress for
+	// StalledInstances lists the instances whose running streams recently stopped making progress for
 	// this daemon.
-	Standing func(now time.Time) []string
+	StalledInstances func(now time.Time) []string
 	// Uniform returns a random duration in [low, high).
 	Uniform func(low, high time.Duration) time.Duration
 	Now     func() time.Time
@@ -217,8 +217,8 @@
 
 func (n *Node) now() time.Time { return n.opts.Now() }
 
-// Settles returns for how long after its start a daemon may not have found an existing relay.
-func (n *Node) Settles() time.Duration {
+// MaxSearchDelay returns for how long after its start a daemon may not have found an existing relay.
+func (n *Node) MaxSearchDelay() time.Duration {
 	if n.opts.Bootstrap {
 		return maxSearchDelay
 	}
@@ -227,36 +227,36 @@
 
 // staleFraction returns a fraction of the age at which a proof is stale.
 func (n *Node) staleFraction(fraction float64) time.Duration {
-	return time.Duration(fraction * float64(n.opts.Stale()))
+	return time.Duration(fraction * float64(n.opts.StaleAfter()))
 }
 
-// Pace returns how long to pause between receiving changes and asking for more. 0: this daemon
+// PauseAfterChanges returns how long to pause between receiving changes and asking for more. 0: this daemon
 // neither serves peers nor follows a relay.
-func (n *Node) Pace() time.Duration {
+func (n *Node) PauseAfterChanges() time.Duration {
 	switch {
-	case n.Serving():
+	case n.ServesPeers():
 		return n.staleFraction(relayPauseFraction)
-	case n.Relayed():
+	case n.FollowsRelay():
 		return n.staleFraction(peerPauseFraction)
 	}
 	return 0
 }
 
-// Serving reports whether peers poll this daemon.
-func (n *Node) Serving() bool {
+// ServesPeers reports whether peers poll this daemon.
+func (n *Node) ServesPeers() bool {
 	return n.isActiveRelay() && n.now().Sub(n.polledAt.Load()) < recentContact
 }
 
-// Holding reports whether this daemon is its zone's relay, as far as it knows, whether or not
+// IsRelay reports whether this daemon is its zone's relay, as far as it knows, whether or not
 // it reaches the store.
-func (n *Node) Holding() bool { return n.isRelay.Load() && !n.stopping.Load() }
+func (n *Node) IsRelay() bool { return n.isRelay.Load() && !n.stopping.Load() }
 
-// Told reports whether a relay answered this daemon recently, even if only that it is out of
+// RelayAnswered reports whether a relay answered this daemon recently, even if only that it is out of
 // touch with the store: such a relay will announce that the store is back.
-func (n *Node) Told() bool { return n.now().Sub(n.relayAnsweredAt.Load()) < recentContact }
+func (n *Node) RelayAnswered() bool { return n.now().Sub(n.relayAnsweredAt.Load()) < recentContact }
 
-// Relayed reports whether the last call of Follow went through a relay.
-func (n *Node) Relayed() bool { return n.viaRelay.Load() }
+// FollowsRelay reports whether the last call of Follow went through a relay.
+func (n *Node) FollowsRelay() bool { return n.viaRelay.Load() }
 
 // Close makes this daemon refuse its peers' calls, so that they find another relay.
 func (n *Node) Close() { n.stopping.Store(true) }
@@ -310,7 +310,7 @@
 		pause.For(ctx, n.nextSearchAt.Sub(n.now()))
 	}
 	n.findRelay(ctx, after)
-	if n.relayAddress != "" && !n.opts.Direct() {
+	if n.relayAddress != "" && !n.opts.MustFollowStore() {
 		changes, err := n.askRelay(ctx, n.relayAddress, after, min(wait, n.staleFraction(pollWaitFraction)))
 		if err == nil {
 			// Kept so that this daemon can serve peers if it takes its relay's place.
@@ -323,7 +323,7 @@
 		n.dropRelay(err)
 	}
 	n.viaRelay.Store(false)
-	if n.suspect != "" && !n.opts.Direct() && !n.stopping.Load() {
+	if n.suspect != "" && !n.opts.MustFollowStore() && !n.stopping.Load() {
 		wait = min(wait, max(n.nextSearchAt.Sub(n.now()), fleet.ProofWait)) // the next search is due then
 	}
 	return n.followStore(ctx, after, wait)
@@ -347,7 +347,7 @@
 	case <-n.polled: // discard a signal from before this call
 	default:
 	}
-	if n.Serving() {
+	if n.ServesPeers() {
 		return n.followStoreOnce(ctx, after, min(wait, n.relayWait()))
 	}
 	timed, cancel := context.WithCancel(ctx)
@@ -412,7 +412,7 @@
 	if n.provedAt.IsZero() {
 		wait = 0
 	} else {
-		remaining := n.provedAt.Add(n.opts.Stale()).Sub(asked)
+		remaining := n.provedAt.Add(n.opts.StaleAfter()).Sub(asked)
 		wait = min(wait, max(remaining-n.staleFraction(answerMarginFraction), n.staleFraction(minWaitFraction)))
 		timeout = max(min(wait+n.staleFraction(answerMarginFraction), remaining), n.staleFraction(minCallFraction))
 	}
@@ -420,7 +420,7 @@
 	defer cancel()
 	lastSeq := n.share.lastSeq(address)
 	r, err := n.opts.Peers.Poll(timed, address, PollRequest{After: after, ConfigSeq: n.configSeq, WaitMS: wait.Milliseconds(),
-		From: n.opts.Holder, StalledInstances: n.opts.Standing(asked), QuarantineSeq: &lastSeq})
+		From: n.opts.Holder, StalledInstances: n.opts.StalledInstances(asked), QuarantineSeq: &lastSeq})
 	if jrpc2.ErrorCode(err) == codeNotRelaying {
 		n.relayAnsweredAt.Store(n.now())
 		return objectapi.Changes{}, false, errors.WithType(err, errOutOfTouch)
@@ -438,7 +438,7 @@
 	n.share.setRelay(address)
 	n.noteClusterWideSeq(address, r.QuarantineSeq)
 	if r.ConfigVersion != 0 {
-		n.opts.Confirm(r.ConfigVersion, asked.Add(held-time.Duration(r.ConfigAgeMS)*time.Millisecond))
+		n.opts.OnConfigProof(r.ConfigVersion, asked.Add(held-time.Duration(r.ConfigAgeMS)*time.Millisecond))
 	}
 	events, err := unpack(r.Changes, after)
 	return objectapi.Changes{Events: events, Revision: r.Revision, Age: age}, r.Gap, errors.Trace(err)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -40,14 +40,14 @@
 	z.stepAll(t, 6)
 	must.Len(t, 1, z.activeRelays())
 	relay := z.activeRelays()[0]
-	must.True(t, relay.Serving())
+	must.True(t, relay.ServesPeers())
 	z.follows = map[*daemon]int{}
 	z.change("b", false)
 	z.stepAll(t, 4)
 	must.Eq(t, map[*daemon]int{relay: 4}, z.follows)
 	for _, d := range z.daemons {
 		must.Eq(t, z.state(), d.state)
-		must.True(t, d == relay || d.Relayed())
+		must.True(t, d == relay || d.FollowsRelay())
 		must.True(t, d == relay || d.configVersion == z.config[0].version)
 	}
 }
@@ -116,7 +116,7 @@
 	for _, d := range z.daemons {
 		if d != relay {
 			must.NoError(t, d.step())
-			must.False(t, d.Relayed())
+			must.False(t, d.FollowsRelay())
 			must.Eq(t, z.state(), d.state)
 		}
 	}
@@ -176,7 +176,7 @@
 	z.change("a", false)
 	z.stepAll(t, 6)
 	slow := z.daemons[5]
-	must.True(t, slow.Relayed())
+	must.True(t, slow.FollowsRelay())
 	for i := range 10 {
 		z.change(fmt.Sprint("b", i), false)
 		for _, d := range z.daemons[:5] {
@@ -290,7 +290,7 @@
 		z.stepAll(t, 60)
 		for _, d := range z.daemons {
 			must.Eq(t, z.state(), d.state)
-			must.True(t, d.isActiveRelay() || d.Relayed())
+			must.True(t, d.isActiveRelay() || d.FollowsRelay())
 		}
 		must.Len(t, 1, z.activeRelays())
 	})
@@ -339,7 +339,7 @@
 	must.Eq(t, 1, z.lists)
 	for _, d := range z.daemons {
 		must.Eq(t, z.state(), d.state)
-		must.True(t, d == relay || d.Relayed())
+		must.True(t, d == relay || d.FollowsRelay())
 	}
 }
 
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -11,20 +11,20 @@
 
 // Traffic connects a daemon's own requests to what its zone shares.
 type Traffic struct {
-	// Spare removes and returns the retry credit, by service, that the daemon's requests accrued
+	// TakeSpareRetries removes and returns the retry credit, by service, that the daemon's requests accrued
 	// and that the daemon does not need.
-	Spare func(now time.Time) map[string]float64
+	TakeSpareRetries func(now time.Time) map[string]float64
 	// InFlight returns the daemon's requests in flight, by instance.
 	InFlight func() map[string]int
-	// Progress returns the groups whose running streams recently stopped making progress, and
+	// GroupProgress returns the groups whose running streams recently stopped making progress, and
 	// those whose streams deliver events.
-	Progress func(now time.Time) (stalled, active []fleet.GroupKey)
-	// Stops is signalled when a running stream stops making progress.
-	Stops <-chan struct{}
-	// Loaded is called with what all other daemons reported.
-	Loaded func(others dispatch.PeerReports, now time.Time)
-	// Rule returns the rule of the zone's retry pool.
-	Rule func() dispatch.RetryPoolRule
+	GroupProgress func(now time.Time) (stalled, active []fleet.GroupKey)
+	// Stalls is signalled when a running stream stops making progress.
+	Stalls <-chan struct{}
+	// OnLoads is called with what all other daemons reported.
+	OnLoads func(others dispatch.PeerReports, now time.Time)
+	// RetryPoolRule returns the rule of the zone's retry pool.
+	RetryPoolRule func() dispatch.RetryPoolRule
 }
 
 // zoneShare is a daemon's part in what its zone shares. Safe for concurrent use.
@@ -128,13 +128,13 @@
 	return s.relay, s.poolLevels
 }
 
-// Repeat takes one retry of a service from the zone's pool. It returns false if the pool has
+// TakeRetry takes one retry of a service from the zone's pool. It returns false if the pool has
 // none or there is no relay. A retry that was granted and not used is lost to the pool.
-func (n *Node) Repeat(ctx context.Context, service string) bool {
+func (n *Node) TakeRetry(ctx context.Context, service string) bool {
 	now := n.now()
 	if n.isActiveRelay() {
-		n.share.pool.Add(n.opts.Traffic.Spare(now), n.opts.Traffic.Rule(), now)
-		return n.share.pool.TakeRetry(service, n.opts.Traffic.Rule(), now)
+		n.share.pool.Add(n.opts.Traffic.TakeSpareRetries(now), n.opts.Traffic.RetryPoolRule(), now)
+		return n.share.pool.TakeRetry(service, n.opts.Traffic.RetryPoolRule(), now)
 	}
 	relay, _ := n.share.relayInUse(now)
 	if relay == "" {
@@ -146,11 +146,11 @@
 	return err == nil && r.Granted // a pool that can't be reached grants nothing
 }
 
-// MayRepeat reports whether the zone's pool probably has a retry of a service.
-func (n *Node) MayRepeat(service string) bool {
+// RetryAvailable reports whether the zone's pool probably has a retry of a service.
+func (n *Node) RetryAvailable(service string) bool {
 	now := n.now()
 	if n.isActiveRelay() {
-		return n.share.pool.Levels(n.opts.Traffic.Rule(), now)[service] >= 1
+		return n.share.pool.Levels(n.opts.Traffic.RetryPoolRule(), now)[service] >= 1
 	}
 	_, levels := n.share.relayInUse(now)
 	return levels[service] >= 1
@@ -161,5 +161,5 @@
 	if !n.isActiveRelay() {
 		return RetryReply{}, nil
 	}
-	return RetryReply{n.share.pool.TakeRetry(r.Service, n.opts.Traffic.Rule(), n.now())}, nil
+	return RetryReply{n.share.pool.TakeRetry(r.Service, n.opts.Traffic.RetryPoolRule(), n.now())}, nil
 }
--- a/internal/relay/share_cost_test.go
+++ b/internal/relay/share_cost_test.go
@@ -14,8 +14,8 @@
 // newBusyRelay returns a relay whose zone's daemons reported their loads, each for a number of
 // replicas, and the last daemon's report.
 func newBusyRelay(daemons, replicas int, now time.Time) (*Node, ShareRequest) {
-	n := &Node{opts: Options{Now: func() time.Time { return now }, Stale: func() time.Duration { return time.Second }, Gate: (&zone{}).gate(),
-		Traffic: Traffic{Rule: func() dispatch.RetryPoolRule { return dispatch.RetryPoolRule{} }}}, history: newHistory(), reports: newReports()}
+	n := &Node{opts: Options{Now: func() time.Time { return now }, StaleAfter: func() time.Duration { return time.Second }, Gate: (&zone{}).gate(),
+		Traffic: Traffic{RetryPoolRule: func() dispatch.RetryPoolRule { return dispatch.RetryPoolRule{} }}}, history: newHistory(), reports: newReports()}
 	n.isRelay.Store(true)
 	n.storeReached.Store(true)
 	var request ShareRequest
--- a/internal/relay/share_test.go
+++ b/internal/relay/share_test.go
@@ -41,7 +41,7 @@
 	for _, isRelay := range []bool{false, true} {
 		for _, d := range z.daemons {
 			if !d.dead && d.isActiveRelay() == isRelay {
-				x := &Exchange{Node: d.Node, List: recordsOf()}
+				x := &LoadExchange{Node: d.Node, ListRecords: recordsOf()}
 				x.runOnce(context.Background())
 			}
 		}
@@ -76,7 +76,7 @@
 	other.exchangeAll()
 	relay.opts.Peers = other // both zones name their daemons alike
 	relay.opts.Address = "here"
-	x := &Exchange{Node: relay.Node, List: recordsOf("here", remoteRelay.name, "nobody")}
+	x := &LoadExchange{Node: relay.Node, ListRecords: recordsOf("here", remoteRelay.name, "nobody")}
 	x.runOnce(context.Background())
 	must.Eq(t, map[string]int{"x": 8}, relay.othersInFlight)
 	z.advance(totalValidFor + 1)
@@ -87,15 +87,15 @@
 // Spare retry credit of one daemon may be used by another one, once.
 func TestRetriesAreShared(t *testing.T) {
 	z, relay, a, b := zoneWithRelay(t)
-	must.False(t, b.Repeat(context.Background(), "s"))
+	must.False(t, b.TakeRetry(context.Background(), "s"))
 	a.spareRetries = map[string]float64{"s": 1.2}
 	relay.spareRetries = map[string]float64{"s": 0.3}
 	z.exchangeAll()
-	must.False(t, b.MayRepeat("other"))
-	must.True(t, b.Repeat(context.Background(), "s"))
-	must.False(t, b.Repeat(context.Background(), "s"))
+	must.False(t, b.RetryAvailable("other"))
+	must.True(t, b.TakeRetry(context.Background(), "s"))
+	must.False(t, b.TakeRetry(context.Background(), "s"))
 	relay.spareRetries = map[string]float64{"s": 1.5}
-	must.True(t, relay.Repeat(context.Background(), "s"))
+	must.True(t, relay.TakeRetry(context.Background(), "s"))
 }
 
 // A daemon knows from the relay's last answer whether the pool has retries, and does not ask a
@@ -104,16 +104,16 @@
 	z, relay, a, b := zoneWithRelay(t)
 	a.spareRetries = map[string]float64{"s": 5}
 	z.exchangeAll()
-	must.True(t, b.MayRepeat("s"))
+	must.True(t, b.RetryAvailable("s"))
 	relay.dead = true
-	must.False(t, b.Repeat(context.Background(), "s"))
+	must.False(t, b.TakeRetry(context.Background(), "s"))
 	z.advance(levelsValidFor + 1)
-	must.False(t, b.MayRepeat("s"))
+	must.False(t, b.RetryAvailable("s"))
 	z.stepAll(t, 8)
-	must.False(t, b.MayRepeat("s"), must.Sprint("the next relay's pool starts empty"))
+	must.False(t, b.RetryAvailable("s"), must.Sprint("the next relay's pool starts empty"))
 	a.spareRetries = map[string]float64{"s": 5}
 	z.exchangeAll()
-	must.True(t, z.activeRelays()[0].MayRepeat("s"))
+	must.True(t, z.activeRelays()[0].RetryAvailable("s"))
 }
 
 // A group is announced as stalled when two daemons report it and it delivers events to none. One
--- a/internal/relay/snapshot.go
+++ b/internal/relay/snapshot.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return SnapshotReply{}, err
 	}
-	if n.Holding() && !r.Direct {
+	if n.IsRelay() && !r.Direct {
 		if source := n.copies.assignSource(r, n.opts.LinkMbps, len(snapshot.Entries), n.now()); source != "" {
 			return SnapshotReply{Ask: source}, nil
 		}
--- a/internal/relay/snapshot_test.go
+++ b/internal/relay/snapshot_test.go
@@ -74,7 +74,7 @@
 	relay.history.mu.Unlock()
 	lists, staleLists := z.lists, z.staleLists
 	must.NoError(t, peer.step())
-	must.True(t, peer.Relayed())
+	must.True(t, peer.FollowsRelay())
 	must.Eq(t, lists, z.lists)
 	must.Eq(t, staleLists, z.staleLists)
 	must.Eq(t, relay.state, peer.state)
@@ -118,7 +118,7 @@
 	relay.Node.noteRecords(objectapi.Listing{Objects: []objectapi.Object{z.record}})
 	z.now = z.now.Add(time.Millisecond)
 	_ = relay.step()
-	must.False(t, relay.Holding())
+	must.False(t, relay.IsRelay())
 }
 
 // Guards against a reused snapshot that was packed before the relay's own listing: it would
--- a/internal/relay/stalled.go
+++ b/internal/relay/stalled.go
@@ -69,19 +69,19 @@
 // answerStalled answers the planner's survey.
 func (n *Node) answerStalled(context.Context) (StalledReply, error) {
 	now := n.now()
-	n.reports.note(n.opts.Holder, n.opts.Standing(now), now)
+	n.reports.note(n.opts.Holder, n.opts.StalledInstances(now), now)
 	return StalledReply{n.reports.stalled(now)}, nil
 }
 
-// Survey asks the relays of all zones for stalled instances, for the planner: its own requests
+// StallSurvey asks the relays of all zones for stalled instances, for the planner: its own requests
 // show only some of the stalls.
-type Survey struct {
-	Relays func(ctx context.Context) ([]string, error) // returns their addresses
-	Ask    func(ctx context.Context, address string) (StalledReply, error)
-	Active func() bool // reports whether surveys are needed now
-	Now    func() time.Time
+type StallSurvey struct {
+	ListRelays func(ctx context.Context) ([]string, error) // returns their addresses
+	Ask        func(ctx context.Context, address string) (StalledReply, error)
+	Active     func() bool // reports whether surveys are needed now
+	Now        func() time.Time
 	// News, if set, is signalled when a survey finds an instance that the previous survey did not.
-	News chan<- struct{}
+	NewStalls chan<- struct{}
 
 	mu      sync.Mutex
 	found   []string
@@ -99,7 +99,7 @@
 
 // Found returns the instances found by the last survey, or nil if that survey is older than
 // reportValidFor.
-func (s *Survey) Found(now time.Time) []string {
+func (s *StallSurvey) Found(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.foundAt) > reportValidFor {
@@ -109,7 +109,7 @@
 }
 
 // Run makes a survey every surveyInterval while Active returns true, until ctx ends.
-func (s *Survey) Run(ctx context.Context) {
+func (s *StallSurvey) Run(ctx context.Context) {
 	tick := time.NewTicker(surveyInterval)
 	defer tick.Stop()
 	var relays []string
@@ -124,7 +124,7 @@
 			continue
 		}
 		if now := s.Now(); now.Sub(listed) > surveyListInterval {
-			if found, err := s.Relays(ctx); err == nil {
+			if found, err := s.ListRelays(ctx); err == nil {
 				relays = found
 			}
 			listed = now // an error is counted with the store's calls; the old list stays
@@ -134,7 +134,7 @@
 }
 
 // runOnce asks all relays in parallel.
-func (s *Survey) runOnce(ctx context.Context, relays []string) {
+func (s *StallSurvey) runOnce(ctx context.Context, relays []string) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
 	replies := make([]StalledReply, len(relays))
@@ -157,16 +157,16 @@
 }
 
 // setFound stores the result of a survey.
-func (s *Survey) setFound(found []string) {
+func (s *StallSurvey) setFound(found []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hasNew := slices.ContainsFunc(found, func(id string) bool { return !slices.Contains(s.found, id) })
 	s.found, s.foundAt = found, s.Now()
-	if !hasNew || s.News == nil {
+	if !hasNew || s.NewStalls == nil {
 		return
 	}
 	select {
-	case s.News <- struct{}{}:
+	case s.NewStalls <- struct{}{}:
 	default: // already signalled
 	}
 }
--- a/internal/relay/stalled_test.go
+++ b/internal/relay/stalled_test.go
@@ -64,7 +64,7 @@
 func TestSurveySignalsNewInstances(t *testing.T) {
 	changed := make(chan struct{}, 1)
 	found := []string{"x"}
-	s := &Survey{Now: func() time.Time { return start }, News: changed, Ask: func(context.Context, string) (StalledReply, error) {
+	s := &StallSurvey{Now: func() time.Time { return start }, NewStalls: changed, Ask: func(context.Context, string) (StalledReply, error) {
 		return StalledReply{found}, nil
 	}}
 	signalled := func() bool {
@@ -86,7 +86,7 @@
 
 func TestSurveyAsksAllRelays(t *testing.T) {
 	now := start
-	s := &Survey{Now: func() time.Time { return now }, Ask: func(_ context.Context, address string) (StalledReply, error) {
+	s := &StallSurvey{Now: func() time.Time { return now }, Ask: func(_ context.Context, address string) (StalledReply, error) {
 		switch address {
 		case "a":
 			return StalledReply{[]string{"x", "y"}}, nil
@@ -104,5 +104,5 @@
 
 func TestAddressesOfRelays(t *testing.T) {
 	l := objectapi.Listing{Objects: []objectapi.Object{{Value: []byte(`{"address":"10.0.0.1:7000"}`)}, {Value: []byte(`{}`)}, {Value: []byte(`?`)}}}
-	must.Eq(t, []string{"10.0.0.1:7000"}, Addresses(l))
+	must.Eq(t, []string{"10.0.0.1:7000"}, RelayAddresses(l))
 }
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -96,22 +96,22 @@
 func (z *zone) newNode(d *daemon) *Node {
 	d.state = map[string]uint64{}
 	return NewNode(Options{Store: &daemonStore{z: z, d: d}, Kind: entriesKind, Key: recordKey, Holder: fmt.Sprint(d.name, " ", z.revision, z.now),
-		Address: d.name, Peers: z, Stale: func() time.Duration { return staleAfter }, Direct: func() bool { return d.planner },
-		Confirm:  func(version uint64, proved time.Time) { d.configVersion, d.configProvedAt = version, proved },
-		Standing: func(time.Time) []string { return d.stalledInstances },
-		Gate:     z.gate(),
+		Address: d.name, Peers: z, StaleAfter: func() time.Duration { return staleAfter }, MustFollowStore: func() bool { return d.planner },
+		OnConfigProof:    func(version uint64, proved time.Time) { d.configVersion, d.configProvedAt = version, proved },
+		StalledInstances: func(time.Time) []string { return d.stalledInstances },
+		Gate:             z.gate(),
 		Traffic: Traffic{
-			Spare: func(time.Time) map[string]float64 {
+			TakeSpareRetries: func(time.Time) map[string]float64 {
 				spare := d.spareRetries
 				d.spareRetries = nil
 				return spare
 			},
-			InFlight: func() map[string]int { return d.inFlight },
-			Progress: func(time.Time) (stalled, active []fleet.GroupKey) { return d.stalledGroups, d.activeGroups },
-			Loaded: func(others dispatch.PeerReports, _ time.Time) {
+			InFlight:      func() map[string]int { return d.inFlight },
+			GroupProgress: func(time.Time) (stalled, active []fleet.GroupKey) { return d.stalledGroups, d.activeGroups },
+			OnLoads: func(others dispatch.PeerReports, _ time.Time) {
 				d.othersInFlight, d.stalledForAll, d.reportingDaemons = others.InFlight, others.StalledGroups, others.Daemons
 			},
-			Rule: func() dispatch.RetryPoolRule { return dispatch.RetryPoolRule{} },
+			RetryPoolRule: func() dispatch.RetryPoolRule { return dispatch.RetryPoolRule{} },
 		},
 		Uniform: func(low, high time.Duration) time.Duration {
 			if z.longestDelays {
