--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -31,7 +31,7 @@
 	head = head.WithAccepted()
 	s.observeHead(head, 10, now)
 	for i := 1; i < daemons; i++ {
-		s.recordContact(fmt.Sprintf("d%03d", i), revision.Hearing{Incarnation: "i", Revision: head.Revision, At: now})
+		s.recordContact(fmt.Sprintf("d%03d", i), revision.PeerContact{Incarnation: "i", Revision: head.Revision, AnsweredAt: now})
 	}
 	s.platformRead(now)
 	const domains = 11
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -152,7 +152,7 @@
 func (c *Control) ObserveOfferReply(r cluster.OfferReply) {
 	c.enqueue(func(s *state, now time.Time) {
 		if s.head.Members[r.Slot].Incarnation == r.Incarnation {
-			s.acks.Note(r.Slot, r.Incarnation, r.Revision, now)
+			s.acks.Record(r.Slot, r.Incarnation, r.Revision, now)
 		}
 	})
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -118,9 +118,9 @@
 	for slot, m := range s.head.Members {
 		contact := s.contacts[slot]
 		if slot == s.cfg.Slot {
-			contact.Revision, contact.At = s.head.Revision, now
+			contact.Revision, contact.AnsweredAt = s.head.Revision, now
 		}
-		out[slot] = Peer{Member: m, State: s.peerState(slot, now), Revision: contact.Revision, LastContact: contact.At, Refused: contact.Refused.After(contact.At)}
+		out[slot] = Peer{Member: m, State: s.peerState(slot, now), Revision: contact.Revision, LastContact: contact.AnsweredAt, Refused: contact.RefusedAt.After(contact.AnsweredAt)}
 	}
 	return out
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -28,9 +28,9 @@
 	headVersion  uint64
 	lease        revision.Lease
 	acks         revision.Acks
-	acceptedUpTo uint64                        // highest revision known to be accepted
-	contacts     map[string]revision.Hearing   // last contact with each slot
-	loads        map[string]cluster.DaemonLoad // by slot
+	acceptedUpTo uint64                          // highest revision known to be accepted
+	contacts     map[string]revision.PeerContact // last contact with each slot
+	loads        map[string]cluster.DaemonLoad   // by slot
 	domains      map[string]group.VersionedDomain
 	evidence     map[string]group.Evidence
 	servingSince map[string]time.Time // by group.StateKey: when the epoch was first seen serving
@@ -40,7 +40,7 @@
 
 func newState(cfg Config, now time.Time) *state {
 	return &state{
-		cfg: cfg, head: revision.NewHead(), contacts: map[string]revision.Hearing{}, loads: map[string]cluster.DaemonLoad{},
+		cfg: cfg, head: revision.NewHead(), contacts: map[string]revision.PeerContact{}, loads: map[string]cluster.DaemonLoad{},
 		domains: map[string]group.VersionedDomain{}, evidence: map[string]group.Evidence{}, servingSince: map[string]time.Time{}, startedAt: now,
 	}
 }
@@ -54,7 +54,7 @@
 	s.head, s.headVersion = head, version
 	s.acceptedUpTo = max(s.acceptedUpTo, head.Accepted)
 	if s.registered() {
-		s.acks.Note(s.cfg.Slot, s.cfg.Incarnation, head.Revision, now)
+		s.acks.Record(s.cfg.Slot, s.cfg.Incarnation, head.Revision, now)
 	}
 	for slot := range s.contacts {
 		if _, member := head.Members[slot]; !member {
@@ -71,7 +71,7 @@
 
 // platformRead records that the platform's head at asOf was no newer than the one
 // applied here.
-func (s *state) platformRead(asOf time.Time) { s.lease.PlatformRead(asOf) }
+func (s *state) platformRead(asOf time.Time) { s.lease.RecordPlatformRead(asOf) }
 
 // observeSyncReply applies a peer's reply to a request that was sent at the given time.
 func (s *state) observeSyncReply(r cluster.SyncReply, sent, now time.Time) {
@@ -81,8 +81,8 @@
 	if s.head.Members[r.Slot].Incarnation != r.Incarnation {
 		return // the process does not hold the slot
 	}
-	s.recordContact(r.Slot, revision.Hearing{Incarnation: r.Incarnation, Revision: r.Revision, At: sent})
-	s.acks.Note(r.Slot, r.Incarnation, r.Revision, now)
+	s.recordContact(r.Slot, revision.PeerContact{Incarnation: r.Incarnation, Revision: r.Revision, AnsweredAt: sent})
+	s.acks.Record(r.Slot, r.Incarnation, r.Revision, now)
 	s.loads[r.Slot] = r.Load
 	if r.PlatformAge >= 0 && r.HeadVersion <= s.headVersion {
 		s.platformRead(sent.Add(-time.Duration(r.PlatformAge) * time.Millisecond))
@@ -96,10 +96,10 @@
 }
 
 // recordContact records a contact with a slot unless a later one is known.
-func (s *state) recordContact(slot string, contact revision.Hearing) {
+func (s *state) recordContact(slot string, contact revision.PeerContact) {
 	old := s.contacts[slot]
-	contact.Refused = old.Refused
-	if old.Incarnation == contact.Incarnation && !contact.At.After(old.At) {
+	contact.RefusedAt = old.RefusedAt
+	if old.Incarnation == contact.Incarnation && !contact.AnsweredAt.After(old.AnsweredAt) {
 		return
 	}
 	s.contacts[slot] = contact
@@ -119,7 +119,7 @@
 			continue
 		}
 		at := sent.Add(-time.Duration(age) * unit)
-		s.recordContact(slot, revision.Hearing{Incarnation: s.head.Members[slot].Incarnation, Revision: r.Revision, At: at})
+		s.recordContact(slot, revision.PeerContact{Incarnation: s.head.Members[slot].Incarnation, Revision: r.Revision, AnsweredAt: at})
 	}
 }
 
@@ -129,7 +129,7 @@
 		return
 	}
 	contact := s.contacts[slot]
-	contact.Refused = at
+	contact.RefusedAt = at
 	s.contacts[slot] = contact
 }
 
@@ -157,14 +157,14 @@
 		return PeerDead
 	}
 	contact := s.contacts[slot]
-	last := contact.At
+	last := contact.AnsweredAt
 	if last.IsZero() {
 		last = s.startedAt
 	}
 	switch {
-	case contact.Refused.After(contact.At):
+	case contact.RefusedAt.After(contact.AnsweredAt):
 		return PeerDead
-	case now.Sub(last) <= suspectAfterIntervals*s.cfg.SyncInterval && !contact.At.IsZero():
+	case now.Sub(last) <= suspectAfterIntervals*s.cfg.SyncInterval && !contact.AnsweredAt.IsZero():
 		return PeerAlive
 	case now.Sub(last) <= 2*s.cfg.AdmissionLease:
 		return PeerSuspect
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -31,18 +31,18 @@
 	reply := cluster.SyncReply{Slot: "b", Incarnation: "1", Revision: s.head.Revision, HeadVersion: 5, PlatformAge: -1,
 		ContactAges: []byte{10, 0, 50}}
 	s.observeSyncReply(reply, sent, sent.Add(100*time.Millisecond))
-	must.Eq(t, sent, s.contacts["b"].At)
-	must.Eq(t, sent.Add(-time.Second), s.contacts["c"].At) // 50 hundredths of two seconds
+	must.Eq(t, sent, s.contacts["b"].AnsweredAt)
+	must.Eq(t, sent.Add(-time.Second), s.contacts["c"].AnsweredAt) // 50 hundredths of two seconds
 
 	reply.ContactAges, reply.HeadVersion = []byte{0, 0, 0}, 4
 	s.observeSyncReply(reply, sent, sent)
-	must.Eq(t, sent.Add(-time.Second), s.contacts["c"].At, must.Sprint("ages for another head version are ignored"))
+	must.Eq(t, sent.Add(-time.Second), s.contacts["c"].AnsweredAt, must.Sprint("ages for another head version are ignored"))
 }
 
 func TestSilentPeerIsSuspectBeforeDead(t *testing.T) {
 	now := time.Unix(8000, 0)
 	s := testState(now)
-	s.recordContact("b", revision.Hearing{Incarnation: "1", At: now})
+	s.recordContact("b", revision.PeerContact{Incarnation: "1", AnsweredAt: now})
 	must.Eq(t, PeerAlive, s.peerState("b", now.Add(time.Second)))
 	must.Eq(t, PeerSuspect, s.peerState("b", now.Add(2*time.Second)))
 	must.Eq(t, PeerDead, s.peerState("b", now.Add(5*time.Second)))
@@ -80,7 +80,7 @@
 			s, now := newFleetState(n, 1, 1)
 			s.cfg.Slot = fmt.Sprintf("d%03d", i)
 			for j := range n {
-				s.recordContact(fmt.Sprintf("d%03d", j), revision.Hearing{Incarnation: "i", Revision: s.head.Revision, At: now})
+				s.recordContact(fmt.Sprintf("d%03d", j), revision.PeerContact{Incarnation: "i", Revision: s.head.Revision, AnsweredAt: now})
 			}
 			snap := s.snapshot(now, nil)
 			must.SliceLen(t, n, snap.LiveSlots)
--- a/internal/revision/accept.go
+++ b/internal/revision/accept.go
@@ -30,8 +30,8 @@
 // accepted. The zero value is ready to use; not safe for concurrent use.
 type Acks struct{ slots map[string]ack }
 
-// Note records at now that the slot's process has applied the revision.
-func (a *Acks) Note(slot, incarnation string, revision uint64, now time.Time) {
+// Record records at now that the slot's process has applied the revision.
+func (a *Acks) Record(slot, incarnation string, revision uint64, now time.Time) {
 	if a.slots == nil {
 		a.slots = map[string]ack{}
 	}
@@ -51,7 +51,7 @@
 //     time after its acknowledgement, so it ran throughout. A daemon still without the
 //     revision either had contact with one of them and learned it, or had contact with
 //     none, saw none refuse a connection, and lost its lease.
-func (a *Acks) Decide(now time.Time, head Head, term time.Duration, self string, contacts map[string]Hearing) (v Verdict, waiting []string) {
+func (a *Acks) Decide(now time.Time, head Head, term time.Duration, self string, contacts map[string]PeerContact) (v Verdict, waiting []string) {
 	if head.Accepted >= head.Revision {
 		return VerdictAccepted, nil
 	}
@@ -62,15 +62,15 @@
 			continue
 		}
 		waiting = append(waiting, slot)
-		accounted = accounted && contacts[slot].processGone() && contacts[slot].Refused.After(own.since)
+		accounted = accounted && contacts[slot].processGone() && contacts[slot].RefusedAt.After(own.since)
 	}
 	outlivedFence := func(slot string) bool {
 		acked := a.slots[slot]
 		last := contacts[slot]
 		if slot == self {
-			last = Hearing{Incarnation: acked.incarnation, At: now}
+			last = PeerContact{Incarnation: acked.incarnation, AnsweredAt: now}
 		}
-		return acked.revision >= head.Revision && last.Incarnation == acked.incarnation && last.At.Sub(acked.since) >= Fence(term)
+		return acked.revision >= head.Revision && last.Incarnation == acked.incarnation && last.AnsweredAt.Sub(acked.since) >= Fence(term)
 	}
 	if accounted || head.quorum(outlivedFence) {
 		return VerdictAccepted, nil
