--- a/internal/api/generate.go
+++ b/internal/api/generate.go
@@ -143,13 +143,13 @@
 	places := slices.DeleteFunc(slices.Clone(x.ws.Places), func(p string) bool {
 		return !slices.Contains(snap.Head.Doc.Templates[template].Places, p)
 	})
-	req := router.Request{Places: places, Exclude: exclude}
+	req := router.Request{Places: places, Tried: exclude}
 	return a.Router.Permitted(snap.Targets[pool], req, now), req
 }
 
 func (a *API) chooseReplica(x *exchange, pool string, prefix uint64, exclude []string, now time.Time) *destination {
 	permitted, req := a.permitted(x, pool, exclude, now)
-	req.Prefix = prefix
+	req.PrefixHash = prefix
 	t := a.Router.Choose(permitted, req, now, router.Uniform)
 	if t == nil {
 		return nil
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -167,10 +167,10 @@
 func (s *state) target(d group.Domain, g group.Group, e group.Evidence, old *router.Target) *router.Target {
 	t := &router.Target{
 		Group: g.ID, Pool: g.Pool, Epoch: g.Epoch, Place: d.Place, Domain: d.Name, Address: g.Members[0].Address,
-		Ready: e.ReadyAt, Running: e.Running, Queued: e.Queued, Slots: e.Slots,
-		Since: s.servingSince[group.StateKey(g)], Sent: new(atomic.Int64),
+		ReadyAt: e.ReadyAt, Running: e.Running, Queued: e.Queued, Slots: e.Slots,
+		ServingSince: s.servingSince[group.StateKey(g)], Sent: new(atomic.Int64),
 	}
-	if old != nil && old.Epoch == t.Epoch && old.Ready.Equal(t.Ready) {
+	if old != nil && old.Epoch == t.Epoch && old.ReadyAt.Equal(t.ReadyAt) {
 		t.Sent = old.Sent
 	}
 	return t
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -91,7 +91,7 @@
 	})
 	d.api = api.New(api.Deps{
 		Settings: s, Control: d.control, Gate: gate, Ledger: d.ledger, Upstream: upstream.New(connectTimeout),
-		Router:    &router.Router{Policy: router.Policy(s.Routing.Policy), Subset: s.Routing.Subset, MaxAge: s.Timing.EvidenceAge, SlowStart: slowStart},
+		Router:    &router.Router{Policy: router.Policy(s.Routing.Policy), Subset: s.Routing.Subset, MaxReadinessAge: s.Timing.EvidenceAge, SlowStart: slowStart},
 		Telemetry: tele, Claimant: ledger.Claimant{Slot: s.Daemon.Name, Incarnation: incarnation}, Log: log,
 	})
 	d.operator = operator.New(operator.Deps{Settings: s, Control: d.control, Store: counted, API: d.api,
--- a/internal/embedded/faults_test.go
+++ b/internal/embedded/faults_test.go
@@ -64,7 +64,7 @@
 	victim.Kill()
 	await(t, d, "not dispatched to", func(snap *control.Snapshot) bool {
 		list := snap.Targets[Pool]
-		return len(list) == 0 || time.Since(list[0].Ready) > d.Settings.Timing.EvidenceAge
+		return len(list) == 0 || time.Since(list[0].ReadyAt) > d.Settings.Timing.EvidenceAge
 	})
 	undispatched := time.Since(died)
 	await(t, d, "declared down", func(snap *control.Snapshot) bool {
@@ -255,7 +255,7 @@
 		must.NoError(t, err)
 		must.Eq(t, "accepted", string(result.Verdict))
 		await(t, fresh, "replica known", func(snap *control.Snapshot) bool {
-			return len(snap.Targets[Pool]) == 1 && time.Since(snap.Targets[Pool][0].Ready) < time.Second
+			return len(snap.Targets[Pool]) == 1 && time.Since(snap.Targets[Pool][0].ReadyAt) < time.Second
 		})
 		r := send(fresh, chatPath, chat("served", 4, false))
 		must.Eq(t, http.StatusOK, r.status, must.Sprint(r.body))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,14 +21,14 @@
 	Place   string
 	Domain  string    // failure domain
 	Address string    // of rank 0
-	Ready   time.Time // latest time at which all members are known to have been ready
+	ReadyAt time.Time // latest time at which all members are known to have been ready
 	Running int       // requests, as reported with some delay
 	Queued  int       // likewise
 	Slots   int       // requests that run at once
 	// Sent counts the requests that this daemon sent since the report.
 	Sent *atomic.Int64
-	// Since is when this daemon first saw the epoch serve: the start of its slow start.
-	Since time.Time
+	// ServingSince is when this daemon first saw the epoch serve: the start of its slow start.
+	ServingSince time.Time
 }
 
 // Load returns the requests per slot: as reported, plus those sent since.
@@ -38,9 +38,9 @@
 
 // Request holds the properties of a request that routing uses.
 type Request struct {
-	Places  []string // permitted places
-	Prefix  uint64   // hash of the start of the prompt
-	Exclude []string // groups already tried
+	Places     []string // permitted places
+	PrefixHash uint64   // hash of the start of the prompt
+	Tried      []string // groups already tried
 }
 
 // Policy names a routing policy.
@@ -56,9 +56,9 @@
 
 // Router chooses among targets. Safe for concurrent use.
 type Router struct {
-	Policy Policy
-	Subset int           // number of replicas considered for one prefix
-	MaxAge time.Duration // maximum age of a readiness report
+	Policy          Policy
+	Subset          int           // number of replicas considered for one prefix
+	MaxReadinessAge time.Duration // maximum age of a readiness report
 	// SlowStart is how long a new epoch receives only a growing share of requests.
 	SlowStart      time.Duration
 	nextRoundRobin atomic.Uint64
@@ -69,7 +69,7 @@
 func (r *Router) Permitted(targets []*Target, req Request, now time.Time) []*Target {
 	var out []*Target
 	for _, t := range targets {
-		if slices.Contains(req.Places, t.Place) && r.Fresh(t, now) && !slices.Contains(req.Exclude, t.Group) {
+		if slices.Contains(req.Places, t.Place) && r.Fresh(t, now) && !slices.Contains(req.Tried, t.Group) {
 			out = append(out, t)
 		}
 	}
@@ -78,7 +78,7 @@
 
 // Fresh reports whether a target's readiness report is recent enough to send to it at now.
 func (r *Router) Fresh(t *Target, now time.Time) bool {
-	return !t.Ready.IsZero() && now.Sub(t.Ready) < r.MaxAge
+	return !t.ReadyAt.IsZero() && now.Sub(t.ReadyAt) < r.MaxReadinessAge
 }
 
 // Choose returns one of the permitted targets, nil if there is none. uniform returns a random
@@ -95,7 +95,7 @@
 	case PolicyLeastLoaded:
 		return slices.MinFunc(permitted, compareLoad)
 	}
-	return r.chooseByAffinity(permitted, req.Prefix, now, uniform)
+	return r.chooseByAffinity(permitted, req.PrefixHash, now, uniform)
 }
 
 // affinityMargin is how much more load per slot the preferred replica of a prefix may have than the
@@ -122,7 +122,7 @@
 // and by less later.
 func (r *Router) loadWithSlowStart(t *Target, now time.Time) float64 {
 	load := t.Load()
-	if age := now.Sub(t.Since); r.SlowStart > 0 && age < r.SlowStart {
+	if age := now.Sub(t.ServingSince); r.SlowStart > 0 && age < r.SlowStart {
 		load += 1 - float64(age)/float64(r.SlowStart)
 	}
 	return load
