--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -12,7 +12,7 @@
 // prompts is silent for a whole pass, and moving its streams makes other replicas read their
 // prompts again.
 func StallTimeoutFor(e *routes.Engine, m routes.Model) time.Duration {
-	return max(e.LongestPass(m)+stallMargin, minStallTimeout)
+	return max(e.MaxPassTime(m)+stallMargin, minStallTimeout)
 }
 
 // record holds this daemon's own observations of a target.
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -12,8 +12,8 @@
 // readingEngine runs a full batch at 12.3 ms a step and reads up to 2,048 prompt tokens per step in
 // another 44.5 ms: a pass of five steps takes 284 ms at pace 1.
 func readingEngine() *routes.Engine {
-	return &routes.Engine{Slots: 26, Step: 6070 * time.Microsecond, PerRequest: 241 * time.Microsecond,
-		ReadPerSecond: 46000, Chunk: 2048, Stride: 5}
+	return &routes.Engine{Slots: 26, StepTime: 6070 * time.Microsecond, StepTimePerRequest: 241 * time.Microsecond,
+		PrefillTokensPerSecond: 46000, PrefillChunkTokens: 2048, StepsPerPass: 5}
 }
 
 // Long prompts keep arriving at a replica with a full batch, so that its streams pause for whole
@@ -21,7 +21,7 @@
 func TestReplicaReadingLongPromptsIsNotStalled(t *testing.T) {
 	engine, start := readingEngine(), time.Unix(1000, 0)
 	p := NewPicker("a", func(int) int { return 0 })
-	busy := Target{Instance: "busy", Zone: "a", StallTimeout: StallTimeoutFor(engine, routes.Model{Pace: 1})}
+	busy := Target{Instance: "busy", Zone: "a", StallTimeout: StallTimeoutFor(engine, routes.Model{TimeFactor: 1})}
 	for now := start; now.Sub(start) < 10*time.Second; now = now.Add(284 * time.Millisecond) {
 		p.Pick([]Target{busy}, nil, now)
 		p.NoteSent(&busy, busy.StallTimeout, now)
@@ -36,7 +36,7 @@
 func TestDeadReplicaIsStalledAfterLongestPass(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPicker("a", func(int) int { return 0 })
-	dead := Target{Instance: "dead", Zone: "a", StallTimeout: StallTimeoutFor(readingEngine(), routes.Model{Pace: 1})}
+	dead := Target{Instance: "dead", Zone: "a", StallTimeout: StallTimeoutFor(readingEngine(), routes.Model{TimeFactor: 1})}
 	p.Pick([]Target{dead}, nil, now)
 	p.NoteSent(&dead, dead.StallTimeout, now)
 	p.NoteFirstEvent(&dead, "large", now, now)
@@ -46,6 +46,6 @@
 
 // Without published costs, or with short passes, the minimum stall timeout applies.
 func TestStallTimeoutHasMinimum(t *testing.T) {
-	must.Eq(t, minStallTimeout, StallTimeoutFor(&routes.Engine{}, routes.Model{Pace: 1}))
-	must.Eq(t, minStallTimeout, StallTimeoutFor(readingEngine(), routes.Model{Pace: 0.4}))
+	must.Eq(t, minStallTimeout, StallTimeoutFor(&routes.Engine{}, routes.Model{TimeFactor: 1}))
+	must.Eq(t, minStallTimeout, StallTimeoutFor(readingEngine(), routes.Model{TimeFactor: 0.4}))
 }
--- a/internal/formation/assign.go
+++ b/internal/formation/assign.go
@@ -64,7 +64,7 @@
 func (p *Planner) targets(engine *routes.Engine, total int) map[string]float64 {
 	out, sum := map[string]float64{}, 0.0
 	for _, m := range engine.Models {
-		out[m.Name] = max(m.Share, minShare) * (1 + stallLossPerMember*float64(m.Size))
+		out[m.Name] = max(m.WorkShare, minShare) * (1 + stallLossPerMember*float64(m.ReplicaSize))
 		sum += out[m.Name]
 	}
 	for name, weight := range out {
@@ -88,7 +88,7 @@
 				n++
 			}
 		}
-		if n >= m.Size && n > maxHolders {
+		if n >= m.ReplicaSize && n > maxHolders {
 			best, maxHolders = m, n
 		}
 	}
--- a/internal/formation/bench_test.go
+++ b/internal/formation/bench_test.go
@@ -20,8 +20,8 @@
 		id, domain := fmt.Sprintf("i-%05d", i), i/benchDomain
 		in := &fleet.Instance{ID: id, Service: simService, Address: "10.0.0.1:80", Zone: fmt.Sprint("z", domain%3), Domain: fmt.Sprintf("d%04d", domain), Version: uint64(i)}
 		m := engine.Models[domain%2]
-		if group := i % benchDomain / m.Size; i < serving && (group+1)*m.Size <= benchDomain {
-			rank := i % benchDomain % m.Size
+		if group := i % benchDomain / m.ReplicaSize; i < serving && (group+1)*m.ReplicaSize <= benchDomain {
+			rank := i % benchDomain % m.ReplicaSize
 			in.Models, in.Staged = []string{m.Name}, []string{m.Name}
 			in.Group = fleet.Membership{Name: fmt.Sprintf("g%04d-%d", domain, group), Epoch: epochsPerTerm + 1, Rank: rank, State: fleet.Ready}
 			if rank == 0 {
@@ -32,7 +32,7 @@
 	}
 	return fleet.BuildView(1, time.Time{}, all, nil, func(_, model string) int {
 		m, _ := engine.Model(model)
-		return m.Size
+		return m.ReplicaSize
 	})
 }
 
@@ -40,7 +40,7 @@
 func benchViews(b *testing.B, run func(v *fleet.View, engine *routes.Engine)) {
 	engine := simModels()
 	for _, instances := range []int{300, 3000, 8200} {
-		engine.LoadsAtOnce = instances / 8
+		engine.ConcurrentLoads = instances / 8
 		for name, serving := range map[string]int{"start": 0, "half": instances / 2, "serving": instances} {
 			v := benchView(instances, serving, engine)
 			b.Run(fmt.Sprintf("%d/%s", instances, name), func(b *testing.B) {
--- a/internal/formation/form.go
+++ b/internal/formation/form.go
@@ -111,7 +111,7 @@
 	if n == 0 {
 		return true
 	}
-	atOnce := max(engine.LoadsAtOnce, 1)
+	atOnce := max(engine.ConcurrentLoads, 1)
 	if cold {
 		return inFlight < coldLoadFactor*atOnce
 	}
@@ -167,7 +167,7 @@
 	return cmp.Or(
 		cmp.Compare(boolToInt(b.loads == 0), boolToInt(a.loads == 0)),
 		cmp.Compare(b.deficitRatio, a.deficitRatio),
-		cmp.Compare(b.model.Size, a.model.Size),
+		cmp.Compare(b.model.ReplicaSize, a.model.ReplicaSize),
 		cmp.Compare(a.groupsInDomain, b.groupsInDomain),
 		cmp.Compare(b.freeInDomain, a.freeInDomain),
 	) < 0
@@ -193,7 +193,7 @@
 // if there are too few. It prefers instances with the lowest join cost and, among equals, those
 // whose last group was of the model.
 func chooseMembers(m routes.Model, free []*fleet.Instance, lastModel map[string]string) *candidate {
-	if len(free) < m.Size {
+	if len(free) < m.ReplicaSize {
 		return nil
 	}
 	list := slices.Clone(free)
@@ -201,7 +201,7 @@
 		return cmp.Or(cmp.Compare(joinCost(a, m.Name), joinCost(b, m.Name)),
 			cmp.Compare(boolToInt(lastModel[a.ID] != m.Name), boolToInt(lastModel[b.ID] != m.Name)))
 	})
-	c := &candidate{model: m, members: list[:m.Size]}
+	c := &candidate{model: m, members: list[:m.ReplicaSize]}
 	for _, in := range c.members {
 		if joinCost(in, m.Name) > costStaged {
 			c.loads++
--- a/internal/formation/lapsed_test.go
+++ b/internal/formation/lapsed_test.go
@@ -62,7 +62,7 @@
 			e.cutOff, lapsed = true, id
 		}
 	}
-	size := func(_, model string) int { m, _ := s.engine.Model(model); return m.Size }
+	size := func(_, model string) int { m, _ := s.engine.Model(model); return m.ReplicaSize }
 	serving := func(detector *failureDetector) bool {
 		for _, g := range detector.excludeDead(s.view(), size).Groups {
 			return g.Serving()
--- a/internal/formation/plan.go
+++ b/internal/formation/plan.go
@@ -275,9 +275,9 @@
 // expectedJoinTime returns how long the joins of a group should take.
 func (p *Planner) expectedJoinTime(f *formingGroup) time.Duration {
 	if f.loads > 0 {
-		return 2 * f.model.Load // concurrent loads slow each other down
+		return 2 * f.model.LoadTime // concurrent loads slow each other down
 	}
-	return f.model.Warm
+	return f.model.WarmStartTime
 }
 
 // reconcileForming aborts forming groups that can no longer become complete. It marks the members
--- a/internal/formation/plan_cost_test.go
+++ b/internal/formation/plan_cost_test.go
@@ -20,7 +20,7 @@
 			planAllocs, checkAllocs := map[int]float64{}, map[int]float64{}
 			for _, instances := range []int{few, few * factor} {
 				engine := simModels()
-				engine.LoadsAtOnce = instances // so that no ceiling ends the plan early
+				engine.ConcurrentLoads = instances // so that no ceiling ends the plan early
 				table := routes.Compile(&routes.Config{Services: []routes.Service{{Name: simService, Engine: engine}}})
 				serving := 0
 				if servingDivisor > 0 {
--- a/internal/formation/planner_test.go
+++ b/internal/formation/planner_test.go
@@ -76,7 +76,7 @@
 // a window, so that two planners together stay within the ceiling.
 func TestLoadsStayWithinCeiling(t *testing.T) {
 	s := newSim(t, 6, 10)
-	s.engine.LoadsAtOnce = 100
+	s.engine.ConcurrentLoads = 100
 	p := NewPlanner(simService, 1, nil, s.now)
 	p.LoadWindow = simWindow
 	starts := s.loadStarts(20*time.Second, func() *Planner { return p })
@@ -89,7 +89,7 @@
 // All planners together stay within the ceiling plus a tenth plus three, as operators set it.
 func TestLoadsStayWithinCeilingAcrossTakeovers(t *testing.T) {
 	s := newSim(t, 6, 10)
-	s.engine.LoadsAtOnce = 100
+	s.engine.ConcurrentLoads = 100
 	var p *Planner
 	term, takeover := uint64(0), time.Time{}
 	starts := s.loadStarts(20*time.Second, func() *Planner {
--- a/internal/formation/simulation_test.go
+++ b/internal/formation/simulation_test.go
@@ -45,9 +45,9 @@
 const loadedJoinTime = 200 * time.Millisecond
 
 func simModels() *routes.Engine {
-	return &routes.Engine{LoadsAtOnce: 7, LoadsPerSecond: 5, Models: []routes.Model{
-		{Name: "large", Size: 4, Share: 0.5, Load: 3 * time.Second, Warm: time.Second},
-		{Name: "small", Size: 2, Share: 0.5, Load: 2 * time.Second, Warm: time.Second},
+	return &routes.Engine{ConcurrentLoads: 7, LoadsPerSecond: 5, Models: []routes.Model{
+		{Name: "large", ReplicaSize: 4, WorkShare: 0.5, LoadTime: 3 * time.Second, WarmStartTime: time.Second},
+		{Name: "small", ReplicaSize: 2, WorkShare: 0.5, LoadTime: 2 * time.Second, WarmStartTime: time.Second},
 	}}
 }
 
@@ -94,7 +94,7 @@
 	}
 	return fleet.BuildView(1, s.now, all, removed, func(_, model string) int {
 		m, _ := s.engine.Model(model)
-		return m.Size
+		return m.ReplicaSize
 	})
 }
 
@@ -117,7 +117,7 @@
 		return s.join(e, o)
 	case OpStage:
 		m, _ := s.engine.Model(o.Model)
-		e.staging, e.stagedAt = o.Model, s.now.Add(m.Load)
+		e.staging, e.stagedAt = o.Model, s.now.Add(m.LoadTime)
 		return true
 	}
 	if e.in.Group.Key() != o.Group {
@@ -154,12 +154,12 @@
 		}
 	}
 	m, _ := s.engine.Model(o.Model)
-	wait := m.Load
+	wait := m.LoadTime
 	switch {
 	case len(e.in.Models) > 0 && e.in.Models[0] == o.Model:
 		wait = loadedJoinTime
 	case e.in.HasStaged(o.Model):
-		wait = m.Warm
+		wait = m.WarmStartTime
 	}
 	e.lastEpoch, e.members[o.Group], e.joinsAt = o.Group.Epoch, o.Members, s.now.Add(wait)
 	e.setMembership(fleet.Membership{Name: o.Group.Name, Epoch: o.Group.Epoch, Rank: rank, State: fleet.Joining})
@@ -187,8 +187,8 @@
 	key := head.in.Group.Key()
 	list := head.members[key]
 	m, _ := s.engine.Model(head.in.Models[0])
-	if len(list) != m.Size {
-		s.t.Fatalf("%v opens with %d members of %d", key, len(list), m.Size)
+	if len(list) != m.ReplicaSize {
+		s.t.Fatalf("%v opens with %d members of %d", key, len(list), m.ReplicaSize)
 	}
 	for _, id := range list {
 		if !s.wasReady[key][id] {
--- a/internal/formation/stage.go
+++ b/internal/formation/stage.go
@@ -45,7 +45,7 @@
 			inFlight++
 			p.recordLoads(1, now)
 			state.recount([]*fleet.Instance{in}, func() {
-				p.staging[in.ID] = stagingLoad{model: m.Name, since: now, timeout: 2*m.Load + formGrace}
+				p.staging[in.ID] = stagingLoad{model: m.Name, since: now, timeout: 2*m.LoadTime + formGrace}
 			})
 			out = append(out, Order{Op: OpStage, Instance: in.ID, Address: in.Address, Model: m.Name, Reason: "a free instance is missing its domain's model"})
 		}
--- a/internal/formation/warm.go
+++ b/internal/formation/warm.go
@@ -22,13 +22,13 @@
 	for _, d := range domains {
 		for _, in := range d.free {
 			m, staged := stagedModel(in, models[d.name])
-			if !staged || m.Size < 2 || p.staging[in.ID].model != "" || p.lastModel[in.ID] == m.Name {
+			if !staged || m.ReplicaSize < 2 || p.staging[in.ID].model != "" || p.lastModel[in.ID] == m.Name {
 				continue
 			}
 			p.lastModel[in.ID] = m.Name // recorded now, as the entry lists a loaded model only while the instance is in a group
 			epoch := p.nextEpoch()
 			key := fleet.GroupKey{Name: groupName(warmGroupPrefix, epoch), Epoch: epoch}
-			p.warming[key] = now.Add(m.Warm + warmGrace)
+			p.warming[key] = now.Add(m.WarmStartTime + warmGrace)
 			busy[in.ID] = true
 			out = append(out, p.unlessSentRecently(now, Order{Op: OpJoin, Instance: in.ID, Address: in.Address, Group: key, Model: m.Name,
 				Members: []string{in.ID}, Reason: "a spare warms its model"})...)
--- a/internal/formation/warm_test.go
+++ b/internal/formation/warm_test.go
@@ -13,7 +13,7 @@
 // as quickly as its remaining members join.
 func TestSparesAreWarmedOnce(t *testing.T) {
 	s := newSim(t, 2, 10)
-	s.engine.Models[0].Warm = 4 * time.Second
+	s.engine.Models[0].WarmStartTime = 4 * time.Second
 	p := NewPlanner(simService, 1, nil, s.now)
 	warmed := map[string]int{}
 	for end := s.now.Add(60 * time.Second); s.now.Before(end); s.step(250 * time.Millisecond) {
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -90,7 +90,7 @@
 // ctx ended.
 func (x *exchange) awaitBackoff(ctx context.Context) bool {
 	next := x.nextSend()
-	remaining := x.route.Objective - x.priorWait - x.gateway.Clock.Since(x.arrivedAt)
+	remaining := x.route.LatencyObjective - x.priorWait - x.gateway.Clock.Since(x.arrivedAt)
 	if !next.ThisDaemon || !dispatch.ShouldWait(next.After, remaining, x.gateway.Picker.FastestFirstEvent(x.req.Model)) {
 		return false
 	}
--- a/internal/gateway/backpressure_test.go
+++ b/internal/gateway/backpressure_test.go
@@ -36,7 +36,7 @@
 		gateway: &Gateway{Codec: testCodec{}, Gate: gate, Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }),
 			Quarantine: quarantine.NewDetector(quarantine.NewEvidence(), nil, time.Now, zap.NewNop()),
 			Metrics:    NewMetrics(metrics.NewSet()), Log: zap.NewNop(), View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{} }},
-		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
+		service: &routes.Service{Name: "s"}, route: &routes.Route{MaxAttempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}, w
 }
 
@@ -103,12 +103,12 @@
 	setBackoff(gate, 20*time.Millisecond, "a")
 	setBackoff(gate, time.Minute, "b")
 	x, _ := newLimitedExchange(gate)
-	x.arrivedAt, x.route.Objective = time.Now(), 400*time.Millisecond
+	x.arrivedAt, x.route.LatencyObjective = time.Now(), 400*time.Millisecond
 	must.Eq(t, "a", x.nextTarget(t.Context()).Instance)
 
 	setBackoff(gate, 300*time.Millisecond, "a")
 	x, w := newLimitedExchange(gate)
-	x.arrivedAt, x.route.Objective = time.Now(), 400*time.Millisecond
+	x.arrivedAt, x.route.LatencyObjective = time.Now(), 400*time.Millisecond
 	x.digest = x.content().Digest
 	x.servePlain(t.Context())
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -32,7 +32,7 @@
 	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	x = &exchange{
 		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", takeAsOtherRequest), View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{RetryBudget: rule} }},
-		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
+		service: &routes.Service{Name: "s"}, route: &routes.Route{MaxAttempts: 3}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}
 	now := time.Now()
 	for range 2 { // each request accrues a credit of 0.9
@@ -58,7 +58,7 @@
 	view := fleet.BuildView(1, time.Now(), instances, nil, nil)
 	x := &exchange{
 		gateway: &Gateway{Gate: newGate(), Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }), View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{RetryBudget: rule} }},
-		service: &routes.Service{Name: "s"}, route: &routes.Route{Attempts: 2}, req: &Request{}, deadline: time.Now().Add(time.Minute),
+		service: &routes.Service{Name: "s"}, route: &routes.Route{MaxAttempts: 2}, req: &Request{}, deadline: time.Now().Add(time.Minute),
 	}
 	x.attempts.CountSend()
 	x.attempts.CountReached()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -204,10 +204,10 @@
 		}
 		return x.refuse(http.StatusNotFound, "no_route", 0)
 	}
-	if !x.route.Public && table.Keyed() && !x.authorize(age, bounds) {
+	if !x.route.Public && table.RequiresAPIKey() && !x.authorize(age, bounds) {
 		return false
 	}
-	x.service = table.Service(x.route.Service(x.req.ID))
+	x.service = table.Service(x.route.PickService(x.req.ID))
 	if x.service == nil {
 		return x.refuse(http.StatusServiceUnavailable, "no_service", dispatch.RetryAfter(dispatch.TryAnotherDaemon))
 	}
@@ -277,7 +277,7 @@
 // nextTarget chooses the target of the next send. It returns nil if the attempts, the time or
 // the retry budget are used up, or if no target is left.
 func (x *exchange) nextTarget(ctx context.Context) *dispatch.Target {
-	if x.attempts.Exhausted(x.route.Attempts) {
+	if x.attempts.Exhausted(x.route.MaxAttempts) {
 		x.setReason("attempts_spent")
 		return nil
 	}
@@ -369,7 +369,7 @@
 	x.sends = append(x.sends, sendLog{target: t, startedAfter: now.Sub(x.arrivedAt)})
 	call := &upstream.Call{
 		Address: t.Address, Method: x.req.Method, Target: x.req.RequestTarget, Host: x.req.Host, Body: x.req.Body,
-		NewConnection: !x.route.Repeatable(),
+		NewConnection: !x.route.Retryable(),
 		Header: x.gateway.Codec.UpstreamHeader(x.req, SendOptions{Instance: t.Instance, Remaining: x.deadline.Sub(now),
 			Workspace: x.workspace, LastEventID: lastEvent, Urgency: x.urgency(now)}),
 		Withhold:      x.withholdFunc(t),
@@ -398,7 +398,7 @@
 	if x.eventCount > 0 {
 		maxGap = max(maxGap, now.Sub(x.lastEventAt))
 	}
-	return dispatch.StreamProgress{Waited: x.priorWait + now.Sub(x.arrivedAt), Objective: x.route.Objective, MaxPause: x.route.Gap,
+	return dispatch.StreamProgress{Waited: x.priorWait + now.Sub(x.arrivedAt), Objective: x.route.LatencyObjective, MaxPause: x.route.EventGapObjective,
 		Begun: x.eventCount > 0, FirstEvent: x.priorWait + x.firstByteAfter, LongestPause: maxGap}.Urgency()
 }
 
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -45,8 +45,8 @@
 	defer x.gateway.Picker.Release(t)
 	attempt, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if x.route.Repeatable() && x.route.Objective > 0 && !x.attempts.IsLast(x.route.Attempts) {
-		timeout, sentAt := dispatch.PlainTimeout(x.route.Objective), x.gateway.runClockNow()
+	if x.route.Retryable() && x.route.LatencyObjective > 0 && !x.attempts.IsLast(x.route.MaxAttempts) {
+		timeout, sentAt := dispatch.PlainTimeout(x.route.LatencyObjective), x.gateway.runClockNow()
 		timer := &stallTimer{}
 		defer timer.Stop()
 		timer.start(timeout, func() time.Duration {
@@ -84,7 +84,7 @@
 	if attempt.Err() == nil {
 		x.recordBrokenSend()
 	}
-	if x.route.Repeatable() {
+	if x.route.Retryable() {
 		return false
 	}
 	if errors.Is(context.Cause(attempt), quarantine.ErrQuarantined) {
@@ -126,7 +126,7 @@
 		x.recordEnd("failed " + resp.Status)
 		x.mayHaveRun = true
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
-		if x.route.Repeatable() && !x.attempts.Exhausted(x.route.Attempts) {
+		if x.route.Retryable() && !x.attempts.Exhausted(x.route.MaxAttempts) {
 			if x.canRetry() {
 				return false
 			}
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -77,7 +77,7 @@
 	if x.route != nil {
 		fields = append(fields, zap.String("route", x.route.Name), zap.String("kind", string(x.route.Kind)),
 			zap.Int64("time_ms", x.timeLimit().Milliseconds()), zap.Int64("before_ms", x.priorWait.Milliseconds()),
-			zap.Int64("objective_ms", x.route.Objective.Milliseconds()))
+			zap.Int64("objective_ms", x.route.LatencyObjective.Milliseconds()))
 	}
 	if x.req.Model != "" {
 		fields = append(fields, zap.String("model", x.req.Model), zap.Int("events", x.eventCount), zap.Int64("first_ms", x.firstByteAfter.Milliseconds()),
@@ -107,5 +107,5 @@
 	if x.route == nil {
 		return 0
 	}
-	return x.route.Gap
+	return x.route.EventGapObjective
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -34,7 +34,7 @@
 	r.exchange = &exchange{
 		gateway: &Gateway{Gate: newGate(), Clock: clock, RunClock: runClock, Budgets: &dispatch.Budgets{}, Picker: dispatch.NewPicker("", func(int) int { return 0 }),
 			View: func() *fleet.View { return view }, Limits: func() Limits { return Limits{RetryBudget: rule} }},
-		service: &routes.Service{Name: "s"}, route: &routes.Route{Kind: routes.Stream, Resumable: true, Attempts: 3}, req: &Request{},
+		service: &routes.Service{Name: "s"}, route: &routes.Route{Kind: routes.Stream, Resumable: true, MaxAttempts: 3}, req: &Request{},
 		deadline: clock.Now().Add(time.Minute),
 	}
 	for range 2 { // each request accrues a credit of 0.9
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -33,7 +33,7 @@
 	if id, err := strconv.ParseInt(x.req.LastEventID, 10, 64); err == nil {
 		x.lastEventID, x.hasLastEventID = id, true
 	}
-	x.admission = x.gateway.Picker.Admit(x.targets(), x.req.Model, x.route.Objective, x.gateway.runClockNow())
+	x.admission = x.gateway.Picker.Admit(x.targets(), x.req.Model, x.route.LatencyObjective, x.gateway.runClockNow())
 	if !x.admission.Admitted {
 		x.refuse(http.StatusServiceUnavailable, "no_replica_in_time", dispatch.RetryAfter(dispatch.Overload))
 		return
@@ -54,7 +54,7 @@
 			x.failOnContextEnd(ctx)
 			return
 		}
-		if x.mayHaveRun && !x.route.Repeatable() {
+		if x.mayHaveRun && !x.route.Retryable() {
 			x.failUnanswered("upstream_failed")
 			return
 		}
@@ -65,7 +65,7 @@
 // answered otherwise.
 func (x *exchange) sendStream(ctx context.Context, t *dispatch.Target) bool {
 	eventsBefore, sentAt := x.eventCount, x.gateway.runClockNow()
-	timeouts := x.gateway.Picker.StallTimeouts(dispatch.StreamLimits{Model: x.req.Model, Objective: x.route.Objective, MaxPause: x.route.Gap, LongestPass: t.StallTimeout})
+	timeouts := x.gateway.Picker.StallTimeouts(dispatch.StreamLimits{Model: x.req.Model, Objective: x.route.LatencyObjective, MaxPause: x.route.EventGapObjective, LongestPass: t.StallTimeout})
 	x.gateway.Picker.NoteSent(t, timeouts.Pause, sentAt)
 	defer func() { x.gateway.Picker.EndStream(t, sentAt, x.eventCount > eventsBefore) }()
 	attempt, cancel := context.WithCancelCause(ctx)
@@ -115,7 +115,7 @@
 func (x *exchange) watchForStall(ctx context.Context, t *dispatch.Target, sentAt time.Time, timeouts dispatch.StallTimeouts, cancel context.CancelCauseFunc) *stallTimer {
 	timer := &stallTimer{}
 	timer.lastActivity.Store(sentAt)
-	if !x.route.Repeatable() || x.attempts.IsLast(x.route.Attempts) {
+	if !x.route.Retryable() || x.attempts.IsLast(x.route.MaxAttempts) {
 		// A stall never cancels this send, because the route allows no other send after it.
 		timer.timer = time.AfterFunc(time.Hour, func() {})
 		return timer
--- a/internal/gateway/targets_bench_test.go
+++ b/internal/gateway/targets_bench_test.go
@@ -34,7 +34,7 @@
 }
 
 // benchEngines is the service that the instances of benchView belong to.
-var benchEngines = &routes.Service{Name: "engines", Engine: &routes.Engine{Models: []routes.Model{{Name: "m0", Size: benchReplicaSize}, {Name: "m1", Size: benchReplicaSize}}}}
+var benchEngines = &routes.Service{Name: "engines", Engine: &routes.Engine{Models: []routes.Model{{Name: "m0", ReplicaSize: benchReplicaSize}, {Name: "m1", ReplicaSize: benchReplicaSize}}}}
 
 // BenchmarkListTargets measures what the first request after a change of the view adds.
 func BenchmarkListTargets(b *testing.B) {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -25,37 +25,37 @@
 	Stream Kind = "stream"
 )
 
-// Share assigns a service a weighted part of a route's requests.
-type Share struct {
+// WeightedService assigns a service a weighted part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
 
 // Route configures the handling of requests with one host and path prefix.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string // starts and ends with a slash
-	Kind      Kind
-	Timeout   time.Duration // longest time that a request is held; 0: unlimited
-	Objective time.Duration // time to the answer, or to a stream's first event
-	Gap       time.Duration // longest pause between a stream's events; 0: no objective
-	Priority  int           // 0 is the most urgent
-	Split     []Share
-	Attempts  int  // most instances that one request is sent to
-	Public    bool // requires no API key
-	Resumable bool // an interrupted stream may continue at another replica
-}
-
-// Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+	Name              string
+	Host              string
+	Prefix            string // starts and ends with a slash
+	Kind              Kind
+	Timeout           time.Duration // longest time that a request is held; 0: unlimited
+	LatencyObjective  time.Duration // time to the answer, or to a stream's first event
+	EventGapObjective time.Duration // longest pause between a stream's events; 0: no objective
+	Priority          int           // 0 is the most urgent
+	Split             []WeightedService
+	MaxAttempts       int  // most instances that one request is sent to
+	Public            bool // requires no API key
+	Resumable         bool // an interrupted stream may continue at another replica
+}
+
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service for a request id according to the weights of the split. The same id
+// PickService returns the service for a request id according to the weights of the split. The same id
 // always gets the same service. The result is empty if the split has several services and no
 // positive weight.
-func (r *Route) Service(requestID string) string {
+func (r *Route) PickService(requestID string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
 	}
@@ -79,27 +79,27 @@
 
 // Model is a model that the replicas of a service can hold.
 type Model struct {
-	Name  string
-	Size  int           // number of instances in one replica
-	Share float64       // initial fraction of the service's work; 0: unknown
-	Pace  float64       // factor on all times of the engine
-	Load  time.Duration // time to load the model from the weight store
-	Warm  time.Duration // time to load the model from the host
+	Name          string
+	ReplicaSize   int           // number of instances in one replica
+	WorkShare     float64       // initial fraction of the service's work; 0: unknown
+	TimeFactor    float64       // factor on all times of the engine
+	LoadTime      time.Duration // time to load the model from the weight store
+	WarmStartTime time.Duration // time to load the model from the host
 }
 
 // Engine describes the instances of a model service.
 type Engine struct {
-	Slots          int // requests that a replica runs at the same time
-	Models         []Model
-	LoadsPerSecond float64       // limit on loads from the weight store; 0: unlimited
-	LoadsAtOnce    int           // loads that the weight store serves at the same time
-	Step           time.Duration // time of one step, which generates a token for each request in progress
-	PerRequest     time.Duration // added to a step for each request in progress
-	ReadPerSecond  float64       // prompt tokens per second; 0: unknown
-	Chunk          int           // most prompt tokens that one step reads
-	Stride         int           // number of steps in one pass; streams get events only between passes
-	UsualPrompt    int           // mean tokens of a prompt
-	UsualAnswer    int           // mean tokens of an answer
+	Slots                  int // requests that a replica runs at the same time
+	Models                 []Model
+	LoadsPerSecond         float64       // limit on loads from the weight store; 0: unlimited
+	ConcurrentLoads        int           // loads that the weight store serves at the same time
+	StepTime               time.Duration // time of one step, which generates a token for each request in progress
+	StepTimePerRequest     time.Duration // added to a step for each request in progress
+	PrefillTokensPerSecond float64       // prompt tokens per second; 0: unknown
+	PrefillChunkTokens     int           // most prompt tokens that one step reads
+	StepsPerPass           int           // number of steps in one pass; streams get events only between passes
+	MeanPromptTokens       int           // mean tokens of a prompt
+	MeanAnswerTokens       int           // mean tokens of an answer
 }
 
 // Model returns the model with the given name and whether there is one.
@@ -111,15 +111,15 @@
 	return e.Models[i], true
 }
 
-// LongestPass returns the longest time of one pass of a replica, during which no stream gets an
+// MaxPassTime returns the longest time of one pass of a replica, during which no stream gets an
 // event: a full batch generates tokens, and each step reads as many prompt tokens as it may. It is
 // 0 if the timing is not configured.
-func (e *Engine) LongestPass(m Model) time.Duration {
-	step := float64(e.Step + time.Duration(e.Slots)*e.PerRequest)
-	if e.ReadPerSecond > 0 {
-		step += float64(e.Chunk) / e.ReadPerSecond * float64(time.Second)
+func (e *Engine) MaxPassTime(m Model) time.Duration {
+	step := float64(e.StepTime + time.Duration(e.Slots)*e.StepTimePerRequest)
+	if e.PrefillTokensPerSecond > 0 {
+		step += float64(e.PrefillChunkTokens) / e.PrefillTokensPerSecond * float64(time.Second)
 	}
-	return time.Duration(float64(max(e.Stride, 1)) * step * m.Pace)
+	return time.Duration(float64(max(e.StepsPerPass, 1)) * step * m.TimeFactor)
 }
 
 // Service is a set of upstream instances. Engine is nil for a plain service, in which any instance
@@ -196,8 +196,8 @@
 // Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.servicesByName[name] }
 
-// Keyed reports whether requests require an API key, which they do once a workspace is configured.
-func (t *Table) Keyed() bool { return len(t.Config.Workspaces) > 0 }
+// RequiresAPIKey reports whether requests require an API key, which they do once a workspace is configured.
+func (t *Table) RequiresAPIKey() bool { return len(t.Config.Workspaces) > 0 }
 
 // Workspace returns the workspace that owns an API key, or nil.
 func (t *Table) Workspace(key string) *Workspace { return t.workspacesByKey[key] }
@@ -210,5 +210,5 @@
 		return 0
 	}
 	m, _ := s.Engine.Model(model)
-	return m.Size
+	return m.ReplicaSize
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -17,7 +17,7 @@
 			{Name: "mid", Host: "a", Prefix: "/x/"},
 			{Name: "other", Host: "b", Prefix: "/x/"},
 		},
-		Services:   []Service{{Name: "s", Engine: &Engine{Models: []Model{{Name: "m", Size: 4}}}}, {Name: "plain"}},
+		Services:   []Service{{Name: "s", Engine: &Engine{Models: []Model{{Name: "m", ReplicaSize: 4}}}}, {Name: "plain"}},
 		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}, Priority: &priority}},
 	})
 }
@@ -34,7 +34,7 @@
 
 func TestKeysAndSizes(t *testing.T) {
 	table := testTable()
-	must.True(t, table.Keyed())
+	must.True(t, table.RequiresAPIKey())
 	must.Eq(t, "w", table.Workspace("k2").Name)
 	must.Nil(t, table.Workspace(""))
 	must.Eq(t, 4, table.ModelSize("s", "m"))
@@ -44,21 +44,21 @@
 }
 
 func TestSplitFollowsWeightsAndIsStable(t *testing.T) {
-	r := Route{Split: []Share{{"a", 90}, {"b", 10}, {"c", 0}}}
+	r := Route{Split: []WeightedService{{"a", 90}, {"b", 10}, {"c", 0}}}
 	count := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint("id-", i)
-		must.Eq(t, r.Service(id), r.Service(id))
-		count[r.Service(id)]++
+		must.Eq(t, r.PickService(id), r.PickService(id))
+		count[r.PickService(id)]++
 	}
 	must.Between(t, 8500, count["a"], 9500)
 	must.Eq(t, 10000, count["a"]+count["b"])
-	must.Eq(t, "", (&Route{Split: []Share{{"a", 0}, {"b", 0}}}).Service("x"))
+	must.Eq(t, "", (&Route{Split: []WeightedService{{"a", 0}, {"b", 0}}}).PickService("x"))
 }
 
 func TestRequestsThatMayRunMoreThanOnce(t *testing.T) {
-	must.True(t, (&Route{Kind: Idempotent}).Repeatable())
-	must.True(t, (&Route{Kind: Stream, Resumable: true}).Repeatable())
-	must.False(t, (&Route{Kind: Stream}).Repeatable())
-	must.False(t, (&Route{Kind: AtMostOnce, Resumable: true}).Repeatable())
+	must.True(t, (&Route{Kind: Idempotent}).Retryable())
+	must.True(t, (&Route{Kind: Stream, Resumable: true}).Retryable())
+	must.False(t, (&Route{Kind: Stream}).Retryable())
+	must.False(t, (&Route{Kind: AtMostOnce, Resumable: true}).Retryable())
 }
