--- a/internal/fleet/follower_test.go
+++ b/internal/fleet/follower_test.go
@@ -80,7 +80,7 @@
 func testClock() *steady.Clock {
 	start := time.Now()
 	since := func() time.Duration { return time.Since(start) }
-	return steady.NewClockOf(func() (time.Time, time.Duration) {
+	return steady.NewClockFrom(func() (time.Time, time.Duration) {
 		d := since()
 		return start.Round(0).Add(d), d
 	}, since)
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -106,7 +106,7 @@
 			return
 		}
 		// While this process was not scheduled an answer may have come in time but not been read.
-		notScheduled := d.clock.Since(began) >= probeTimeout && d.run.Now().Sub(beganRun) < probeTimeout-steady.RunClockStep
+		notScheduled := d.clock.Since(began) >= probeTimeout && d.run.Now().Sub(beganRun) < probeTimeout-steady.RunClockMaxLag
 		if !notScheduled || ctx.Err() != nil {
 			failed++
 		}
--- a/internal/formation/probe_test.go
+++ b/internal/formation/probe_test.go
@@ -74,7 +74,7 @@
 				var unscheduled atomic.Int64
 				start := time.Now()
 				elapsed := func() time.Duration { return time.Since(start) + time.Duration(unscheduled.Load()) }
-				clock := steady.NewClockOf(func() (time.Time, time.Duration) { return start.Round(0).Add(elapsed()), elapsed() }, elapsed)
+				clock := steady.NewClockFrom(func() (time.Time, time.Duration) { return start.Round(0).Add(elapsed()), elapsed() }, elapsed)
 				p := &unscheduledProber{unscheduled: &unscheduled, unscheduledCalls: c.unscheduledCalls, answersFrom: c.answersFrom}
 				d := newFailureDetector(p, zap.NewNop())
 				d.clock, d.run = clock, steady.NewRunClock(clock)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -216,7 +216,7 @@
 	d.Metrics.GetOrCreateGauge("pearlanding_config_version", func() float64 { return float64(d.config.Current().Version()) })
 	d.Metrics.GetOrCreateGauge("pearlanding_store_absent_seconds", d.outageSeconds)
 	d.Metrics.GetOrCreateGauge("pearlanding_suspended_seconds", func() float64 { return d.Clock.Suspended().Seconds() })
-	d.Metrics.GetOrCreateGauge("pearlanding_late_seconds", func() float64 { return d.runClock.Late().Seconds() })
+	d.Metrics.GetOrCreateGauge("pearlanding_late_seconds", func() float64 { return d.runClock.Lateness().Seconds() })
 	d.Metrics.GetOrCreateGauge("pearlanding_follows_instances", func() float64 { return float64(d.followMode()) })
 	d.Metrics.GetOrCreateGauge("pearlanding_upstream_connections_opened", func() float64 { return float64(d.pool.Opened()) })
 }
--- a/internal/front/suspended.go
+++ b/internal/front/suspended.go
@@ -19,7 +19,7 @@
 func (d *Daemon) logLateness(ctx context.Context) {
 	for logged := time.Duration(0); ctx.Err() == nil; {
 		pause.For(ctx, latenessInterval)
-		late := d.runClock.Late()
+		late := d.runClock.Lateness()
 		if late-logged >= minLateness {
 			d.Log.Warn("process not scheduled", zap.Duration("for", late-logged), zap.Duration("so_far", late))
 		}
--- a/internal/front/zone_test.go
+++ b/internal/front/zone_test.go
@@ -110,7 +110,7 @@
 // simClock returns a clock without suspensions.
 func simClock() *steady.Clock {
 	start := time.Now()
-	return steady.NewClockOf(func() (time.Time, time.Duration) {
+	return steady.NewClockFrom(func() (time.Time, time.Duration) {
 		now := time.Now()
 		return now.Round(0), now.Sub(start)
 	}, func() time.Duration { return time.Since(start) })
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -23,7 +23,7 @@
 
 func newStallRig(ctx context.Context) *stallRig {
 	r, start := &stallRig{}, time.Now()
-	clock := steady.NewClockOf(func() (time.Time, time.Duration) {
+	clock := steady.NewClockFrom(func() (time.Time, time.Duration) {
 		now := time.Since(start) + time.Duration(r.unscheduled.Load())
 		return start.Round(0).Add(now), now
 	}, func() time.Duration { return time.Since(start) + time.Duration(r.unscheduled.Load()) })
--- a/internal/steady/clock.go
+++ b/internal/steady/clock.go
@@ -35,15 +35,15 @@
 // has moved against the monotonic clock, as it does in every suspension.
 func NewClock() *Clock {
 	start := time.Now()
-	return NewClockOf(func() (time.Time, time.Duration) {
+	return NewClockFrom(func() (time.Time, time.Duration) {
 		now := time.Now()
 		return now.Round(0), now.Sub(start)
 	}, bootTime)
 }
 
-// NewClockOf returns a clock that reads other sources, for tests and simulations: read returns the
+// NewClockFrom returns a clock that reads other sources, for tests and simulations: read returns the
 // time of day and the monotonic time, boot a monotonic time that includes suspensions.
-func NewClockOf(read func() (time.Time, time.Duration), boot func() time.Duration) *Clock {
+func NewClockFrom(read func() (time.Time, time.Duration), boot func() time.Duration) *Clock {
 	day, steady := read()
 	return &Clock{read: read, boot: boot, start: day.Add(-steady), bootAtStart: boot() - steady, resumed: make(chan struct{})}
 }
--- a/internal/steady/clock_test.go
+++ b/internal/steady/clock_test.go
@@ -27,7 +27,7 @@
 
 func TestClockCountsSuspensions(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
-	c := NewClockOf(m.read, m.boot)
+	c := NewClockFrom(m.read, m.boot)
 	began := c.Now()
 	m.steady = 2 * time.Second
 	must.Eq(t, 2*time.Second, c.Since(began))
@@ -49,7 +49,7 @@
 // Setting the time of day ahead or back is not counted as a suspension and does not hide one.
 func TestClockIgnoresTimeOfDaySteps(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
-	c := NewClockOf(m.read, m.boot)
+	c := NewClockFrom(m.read, m.boot)
 	began := c.Now()
 	for i, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, 0} {
 		m.dayOffset = step
--- a/internal/steady/run_clock.go
+++ b/internal/steady/run_clock.go
@@ -14,9 +14,9 @@
 	tickInterval = 25 * time.Millisecond
 	// tickSlack is how late a tick may be through ordinary delays of the scheduler.
 	tickSlack = 10 * time.Millisecond
-	// RunClockStep is how far a RunClock may lag behind the time for which the process was
+	// RunClockMaxLag is how far a RunClock may lag behind the time for which the process was
 	// scheduled: after a delay it stays stopped until the first tick of the resumed process.
-	RunClockStep = tickInterval + tickSlack
+	RunClockMaxLag = tickInterval + tickSlack
 )
 
 // RunClock returns a time that stops while the process is not scheduled, as its timers are late
@@ -50,7 +50,7 @@
 	if !c.nextTick.IsZero() && now.After(c.nextTick) {
 		c.lateness += now.Sub(c.nextTick)
 	}
-	c.nextTick = now.Add(RunClockStep)
+	c.nextTick = now.Add(RunClockMaxLag)
 }
 
 // Now returns the current time of this clock.
@@ -64,8 +64,8 @@
 	return now.Add(-c.lateness)
 }
 
-// Late returns how long the process has not been scheduled in total since the clock's start.
-func (c *RunClock) Late() time.Duration {
+// Lateness returns how long the process has not been scheduled in total since the clock's start.
+func (c *RunClock) Lateness() time.Duration {
 	return c.clock.Now().Sub(c.Now())
 }
 
--- a/internal/steady/run_clock_test.go
+++ b/internal/steady/run_clock_test.go
@@ -11,7 +11,7 @@
 // after the late tick, and the clock never goes back.
 func TestRunClockStopsWhileProcessIsNotScheduled(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
-	c := NewRunClock(NewClockOf(m.read, m.boot))
+	c := NewRunClock(NewClockFrom(m.read, m.boot))
 	c.tick()
 	began := c.Now()
 	m.steady += tickInterval
@@ -22,7 +22,7 @@
 	must.Eq(t, 2*tickInterval+tickSlack, stopped.Sub(began), must.Sprint("before the tick"))
 	c.tick()
 	must.Eq(t, stopped, c.Now(), must.Sprint("after the tick"))
-	must.Eq(t, 400*time.Millisecond-tickInterval-tickSlack, c.Late())
+	must.Eq(t, 400*time.Millisecond-tickInterval-tickSlack, c.Lateness())
 	m.steady += 10 * time.Millisecond
 	must.Eq(t, 10*time.Millisecond, c.Now().Sub(stopped), must.Sprint("on schedule again"))
 }
@@ -30,19 +30,19 @@
 // A delay of a timer up to tickSlack does not count as lateness.
 func TestOrdinaryTimerDelaysAreNotLateness(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
-	c := NewRunClock(NewClockOf(m.read, m.boot))
+	c := NewRunClock(NewClockFrom(m.read, m.boot))
 	c.tick()
 	for range 10 {
 		m.steady += tickInterval + tickSlack
 		c.tick()
 	}
-	must.Zero(t, c.Late())
+	must.Zero(t, c.Lateness())
 }
 
 // The process is not scheduled while the machine is suspended.
 func TestRunClockExcludesSuspensions(t *testing.T) {
 	m := &fakeMachine{start: time.Unix(1e9, 0)}
-	c := NewRunClock(NewClockOf(m.read, m.boot))
+	c := NewRunClock(NewClockFrom(m.read, m.boot))
 	c.tick()
 	began := c.Now()
 	m.suspended = time.Minute
