--- a/internal/api/dispatch.go
+++ b/internal/api/dispatch.go
@@ -141,7 +141,7 @@
 		return errRefusedNotRun
 	}
 	if id := resp.Header.Get(engine.HeaderRequestID); id != "" && id != x.id {
-		a.Telemetry.Crossed.Inc()
+		a.Telemetry.MismatchedAnswers.Inc()
 		a.Log.Warn("answer carries the id of another request", zap.String("request_id", x.id), zap.String("group", d.name))
 		return upstream.ErrCrossed
 	}
--- a/internal/api/generate.go
+++ b/internal/api/generate.go
@@ -84,7 +84,7 @@
 		ctx, cancel = upstream.Detached(ctx, time.Until(x.start.Add(a.Settings.Limits.Deadline)))
 		defer cancel()
 	}
-	telemetry.Since(x.metrics.BeforeSend, x.start)
+	telemetry.ObserveSince(x.metrics.BeforeSend, x.start)
 	p := a.dispatch(ctx, x, k)
 	if r.claimed != nil {
 		a.settleClaim(ctx, x, r.claimed, p)
--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -45,7 +45,7 @@
 		return errors.Annotatef(upstream.ErrUnknown, "engine answered %d", resp.StatusCode)
 	}
 	if resp.StatusCode == http.StatusOK && !bytes.Contains(body, idField(r.x.id)) {
-		r.api.Telemetry.Crossed.Inc()
+		r.api.Telemetry.MismatchedAnswers.Inc()
 		return upstream.ErrCrossed
 	}
 	contentType := resp.Header.Get("Content-Type")
@@ -53,7 +53,7 @@
 		r.claimed.record(resp.StatusCode, contentType, body, r.api.Settings.Ledger.MaxBodyBytes)
 	}
 	r.setOriginHeaders(d)
-	telemetry.Since(r.x.metrics.FirstToken, r.x.start)
+	telemetry.ObserveSince(r.x.metrics.FirstToken, r.x.start)
 	r.x.c.Data(resp.StatusCode, contentType, body)
 	return nil
 }
@@ -111,7 +111,7 @@
 		case !bytes.HasPrefix(line, dataPrefix):
 			continue // blank lines and comments: writeLine ends the events
 		case !bytes.Contains(line, id):
-			r.api.Telemetry.Crossed.Inc()
+			r.api.Telemetry.MismatchedAnswers.Inc()
 			return upstream.ErrCrossed
 		default:
 			r.startStream(d)
@@ -144,7 +144,7 @@
 		r.x.metrics.BetweenTokens.Update(now.Sub(r.lastToken).Seconds())
 	}
 	r.lastToken = now
-	r.api.Telemetry.TokensOut.Inc()
+	r.api.Telemetry.StreamChunks.Inc()
 }
 
 // write sends bytes to the caller. If the caller has disconnected, the attempt ends,
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -120,7 +120,7 @@
 	snap       *control.Snapshot
 	workspace  string
 	ws         catalog.Workspace
-	metrics    *telemetry.Workspace
+	metrics    *telemetry.WorkspaceHistograms
 	attemptLog attemptLog
 	// replied is set once the response has started, so that its status and headers are sent.
 	replied bool
@@ -216,7 +216,7 @@
 // refuse logs a problem and sends it as the response, unless the response has started.
 func (a *API) refuse(x *exchange, p *problem.Problem) {
 	p.RequestID = x.id
-	a.Telemetry.Refused(x.workspace, p)
+	a.Telemetry.CountRefusal(x.workspace, p)
 	a.Log.Info("refused", append(x.fields(), zap.String("code", string(p.Code)), zap.String("outcome", string(p.Outcome)),
 		zap.Int("status", p.Status), zap.String("detail", p.Detail))...)
 	if x.replied {
--- a/internal/api/services.go
+++ b/internal/api/services.go
@@ -53,7 +53,7 @@
 	if c != nil {
 		a.settleClaim(ctx, x, c, p)
 	}
-	telemetry.Since(x.metrics.Answer, x.start)
+	telemetry.ObserveSince(x.metrics.Answer, x.start)
 	return p
 }
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -18,14 +18,14 @@
 
 // Telemetry is one daemon's set of metrics. It is safe for concurrent use.
 type Telemetry struct {
-	Set        *metrics.Set
-	histograms sync.Map // *Workspace by histogramsKey
-	refusals   sync.Map // *metrics.Counter by refusalKey
-	Attempts   *metrics.Counter
-	Retries    *metrics.Counter
-	Resumes    *metrics.Counter // resumed streams; never incremented so far
-	Crossed    *metrics.Counter // answers from an upstream that belong to another request
-	TokensOut  *metrics.Counter // chunks of streams delivered to callers
+	Set               *metrics.Set
+	histograms        sync.Map // *Workspace by histogramsKey
+	refusals          sync.Map // *metrics.Counter by refusalKey
+	Attempts          *metrics.Counter
+	Retries           *metrics.Counter
+	Resumes           *metrics.Counter // resumed streams; never incremented so far
+	MismatchedAnswers *metrics.Counter // answers from an upstream that belong to another request
+	StreamChunks      *metrics.Counter // chunks of streams delivered to callers
 }
 
 type histogramsKey struct {
@@ -38,9 +38,9 @@
 	code      problem.Code
 }
 
-// Workspace holds the latency histograms of one workspace and class, in seconds. All but
+// WorkspaceHistograms holds the latency histograms of one workspace and class, in seconds. All but
 // BetweenTokens count from the arrival of the request.
-type Workspace struct {
+type WorkspaceHistograms struct {
 	Answer        *metrics.Histogram
 	FirstToken    *metrics.Histogram
 	BetweenTokens *metrics.Histogram
@@ -51,31 +51,31 @@
 func New() *Telemetry {
 	set := metrics.NewSet()
 	return &Telemetry{
-		Set:       set,
-		Attempts:  set.NewCounter("pearlanding_upstream_attempts_total"),
-		Retries:   set.NewCounter("pearlanding_upstream_retries_total"),
-		Resumes:   set.NewCounter("pearlanding_stream_resumes_total"),
-		Crossed:   set.NewCounter("pearlanding_upstream_crossed_answers_total"),
-		TokensOut: set.NewCounter("pearlanding_stream_chunks_total"),
+		Set:               set,
+		Attempts:          set.NewCounter("pearlanding_upstream_attempts_total"),
+		Retries:           set.NewCounter("pearlanding_upstream_retries_total"),
+		Resumes:           set.NewCounter("pearlanding_stream_resumes_total"),
+		MismatchedAnswers: set.NewCounter("pearlanding_upstream_crossed_answers_total"),
+		StreamChunks:      set.NewCounter("pearlanding_stream_chunks_total"),
 	}
 }
 
 // Workspace returns the histograms of a workspace and class, created on first use.
-func (t *Telemetry) Workspace(name string, class catalog.Class) *Workspace {
+func (t *Telemetry) Workspace(name string, class catalog.Class) *WorkspaceHistograms {
 	key := histogramsKey{name, class}
 	if existing, ok := t.histograms.Load(key); ok {
-		return existing.(*Workspace)
+		return existing.(*WorkspaceHistograms)
 	}
 	histogram := func(metric string) *metrics.Histogram {
 		return t.Set.GetOrCreateHistogram(fmt.Sprintf("pearlanding_%s_seconds{workspace=%q,class=%q}", metric, name, class))
 	}
-	created := &Workspace{Answer: histogram("answer"), FirstToken: histogram("first_token"), BetweenTokens: histogram("between_tokens"), BeforeSend: histogram("before_send")}
+	created := &WorkspaceHistograms{Answer: histogram("answer"), FirstToken: histogram("first_token"), BetweenTokens: histogram("between_tokens"), BeforeSend: histogram("before_send")}
 	actual, _ := t.histograms.LoadOrStore(key, created)
-	return actual.(*Workspace)
+	return actual.(*WorkspaceHistograms)
 }
 
-// Refused counts one request refused with a problem.
-func (t *Telemetry) Refused(workspace string, p *problem.Problem) {
+// CountRefusal counts one request refused with a problem.
+func (t *Telemetry) CountRefusal(workspace string, p *problem.Problem) {
 	key := refusalKey{workspace, p.Code}
 	counter, ok := t.refusals.Load(key)
 	if !ok {
@@ -94,8 +94,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Since records the seconds since start in a histogram.
-func Since(histogram *metrics.Histogram, start time.Time) {
+// ObserveSince records the seconds since start in a histogram.
+func ObserveSince(histogram *metrics.Histogram, start time.Time) {
 	histogram.Update(time.Since(start).Seconds())
 }
 
