--- a/internal/api/dispatch.go
+++ b/internal/api/dispatch.go
@@ -143,7 +143,7 @@
 	if id := resp.Header.Get(engine.HeaderRequestID); id != "" && id != x.id {
 		a.Telemetry.MismatchedAnswers.Inc()
 		a.Log.Warn("answer carries the id of another request", zap.String("request_id", x.id), zap.String("group", d.name))
-		return upstream.ErrCrossed
+		return upstream.ErrForeignResponse
 	}
 	return k.consume(resp, d)
 }
--- a/internal/api/generate.go
+++ b/internal/api/generate.go
@@ -81,7 +81,7 @@
 		r.claimed = c
 		// The answer is recorded even if the caller disconnects meanwhile.
 		var cancel context.CancelFunc
-		ctx, cancel = upstream.Detached(ctx, time.Until(x.start.Add(a.Settings.Limits.Deadline)))
+		ctx, cancel = upstream.DetachedContext(ctx, time.Until(x.start.Add(a.Settings.Limits.Deadline)))
 		defer cancel()
 	}
 	telemetry.ObserveSince(x.metrics.BeforeSend, x.start)
--- a/internal/api/once.go
+++ b/internal/api/once.go
@@ -124,7 +124,7 @@
 
 // settle writes a result to the ledger, even if the caller has disconnected.
 func (a *API) settle(ctx context.Context, x *exchange, c *claimedRequest, r ledger.Result) {
-	ctx, cancel := upstream.Detached(ctx, settleTimeout)
+	ctx, cancel := upstream.DetachedContext(ctx, settleTimeout)
 	defer cancel()
 	if err := a.Ledger.Settle(ctx, c.key, c.attempt, r); err != nil {
 		a.Log.Warn("outcome not recorded; a retry will be told that the request may have run",
--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -46,7 +46,7 @@
 	}
 	if resp.StatusCode == http.StatusOK && !bytes.Contains(body, idField(r.x.id)) {
 		r.api.Telemetry.MismatchedAnswers.Inc()
-		return upstream.ErrCrossed
+		return upstream.ErrForeignResponse
 	}
 	contentType := resp.Header.Get("Content-Type")
 	if r.claimed != nil {
@@ -112,7 +112,7 @@
 			continue // blank lines and comments: writeLine ends the events
 		case !bytes.Contains(line, id):
 			r.api.Telemetry.MismatchedAnswers.Inc()
-			return upstream.ErrCrossed
+			return upstream.ErrForeignResponse
 		default:
 			r.startStream(d)
 			r.observeToken()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -218,7 +218,7 @@
 	d.Metrics.GetOrCreateGauge("pearlanding_suspended_seconds", func() float64 { return d.Clock.Suspended().Seconds() })
 	d.Metrics.GetOrCreateGauge("pearlanding_late_seconds", func() float64 { return d.runClock.Lateness().Seconds() })
 	d.Metrics.GetOrCreateGauge("pearlanding_follows_instances", func() float64 { return float64(d.followMode()) })
-	d.Metrics.GetOrCreateGauge("pearlanding_upstream_connections_opened", func() float64 { return float64(d.pool.Opened()) })
+	d.Metrics.GetOrCreateGauge("pearlanding_upstream_connections_opened", func() float64 { return float64(d.pool.ConnectionsOpened()) })
 }
 
 // outageSeconds returns for how long the store has answered no call of this daemon.
@@ -304,7 +304,7 @@
 	for ctx.Err() == nil {
 		pause.For(ctx, sweepInterval)
 		now := d.Clock.Now()
-		d.pool.Sweep(now)
+		d.pool.CloseExpired(now)
 		d.picker.Sweep(d.runClock.Now())
 		d.watch.Prune()
 		d.gate.Sweep(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -368,7 +368,7 @@
 	x.attempts.CountSend()
 	x.sends = append(x.sends, sendLog{target: t, startedAfter: now.Sub(x.arrivedAt)})
 	call := &upstream.Call{
-		Address: t.Address, Method: x.req.Method, Target: x.req.RequestTarget, Host: x.req.Host, Body: x.req.Body,
+		Address: t.Address, Method: x.req.Method, RequestTarget: x.req.RequestTarget, Host: x.req.Host, Body: x.req.Body,
 		NewConnection: !x.route.Retryable(),
 		Header: x.gateway.Codec.UpstreamHeader(x.req, SendOptions{Instance: t.Instance, Remaining: x.deadline.Sub(now),
 			Workspace: x.workspace, LastEventID: lastEvent, Urgency: x.urgency(now)}),
@@ -377,7 +377,7 @@
 	}
 	x.watchedSend = x.gateway.Quarantine.StartSend(quarantine.Incarnation{Instance: t.Instance, StartedAt: t.StartedAt}, t.Address, x.workspace, x.digest, onQuarantine)
 	resp, err := x.gateway.Pool.Do(ctx, call)
-	if err != nil && (errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrBusy)) {
+	if err != nil && (errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrConnectionLimit)) {
 		return nil, err
 	}
 	x.attempts.CountReached()
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -77,7 +77,7 @@
 	if !errors.Is(err, upstream.ErrWithheld) && (attempt.Err() == nil || errors.Is(context.Cause(attempt), errTooSlow)) {
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
 	}
-	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrBusy) {
+	if errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrConnectionLimit) {
 		return false
 	}
 	x.mayHaveRun = true
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -294,7 +294,7 @@
 	if !errors.Is(err, upstream.ErrWithheld) && (attempt.Err() == nil || errors.Is(context.Cause(attempt), errStalled)) {
 		x.gateway.Picker.Suspect(t, x.gateway.runClockNow())
 	}
-	if !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrBusy) {
+	if !errors.Is(err, upstream.ErrNotSent) && !errors.Is(err, upstream.ErrConnectionLimit) {
 		x.mayHaveRun = true
 	}
 	if attempt.Err() == nil && errors.Is(err, upstream.ErrUnknown) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -57,12 +57,12 @@
 
 // Call is one request to an upstream.
 type Call struct {
-	Address string
-	Method  string
-	Target  string // verbatim for the request line
-	Host    string
-	Header  http.Header
-	Body    []byte
+	Address       string
+	Method        string
+	RequestTarget string // verbatim for the request line
+	Host          string
+	Header        http.Header
+	Body          []byte
 	// NewConnection requests a new connection, because an idle one may turn out to be closed
 	// after the request was written. The new connection is watched for a moment before the
 	// request is written, so that an upstream with too many connections can reset it first.
@@ -86,8 +86,8 @@
 // before the upstream closes the connection.
 const idleTimeoutMargin = 500 * time.Millisecond
 
-// ErrBusy means that the limit on open connections is reached; no byte was sent.
-const ErrBusy = errors.ConstError("upstream: too many open connections")
+// ErrConnectionLimit means that the limit on open connections is reached; no byte was sent.
+const ErrConnectionLimit = errors.ConstError("upstream: too many open connections")
 
 // ErrWithheld means that Call.Withhold returned true; such an error is ErrNotSent, too.
 const ErrWithheld = errors.ConstError("upstream: request withheld")
@@ -97,15 +97,15 @@
 	return &Pool{MaxConnectTime: maxConnectTime, MaxIdleTime: maxIdleTime, dialer: link.Dialer(0).DialContext, idleConns: map[string][]*pooledConn{}, openCount: map[string]int{}}
 }
 
-// Opened returns how many connections have been opened so far, including failed attempts.
-func (p *Pool) Opened() uint64 {
+// ConnectionsOpened returns how many connections have been opened so far, including failed attempts.
+func (p *Pool) ConnectionsOpened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openedTotal
 }
 
 // Do sends the request once and returns its response after reading the header. The error is
-// ErrNotSent, ErrWithheld or ErrBusy if no byte was sent, ErrCrossed if only responses to other
+// ErrNotSent, ErrWithheld or ErrConnectionLimit if no byte was sent, ErrForeignResponse if only responses to other
 // requests were received, and otherwise ErrUnknown. When ctx ends, the connection is closed,
 // also while the body is read. The caller must close the body.
 func (p *Pool) Do(ctx context.Context, call *Call) (*http.Response, error) {
@@ -141,7 +141,7 @@
 		p.discard(c)
 	}
 	if !p.reserveSlot(call.Address) {
-		return nil, errors.WithType(errors.Errorf("too many open connections to %s", call.Address), ErrBusy)
+		return nil, errors.WithType(errors.Errorf("too many open connections to %s", call.Address), ErrConnectionLimit)
 	}
 	conn, err := p.dial(ctx, call.Address)
 	if err != nil {
@@ -160,7 +160,7 @@
 // nothing listens there.
 func (p *Pool) Probe(ctx context.Context, address string) error {
 	if !p.reserveSlot(address) {
-		return errors.WithType(errors.Errorf("too many open connections to %s", address), ErrBusy)
+		return errors.WithType(errors.Errorf("too many open connections to %s", address), ErrConnectionLimit)
 	}
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -280,8 +280,8 @@
 // number from all callers together.
 const maxIdlePerAddress = 3
 
-// Sweep closes idle connections whose idle timeout has passed.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections whose idle timeout has passed.
+func (p *Pool) CloseExpired(now time.Time) {
 	var expired []*pooledConn
 	p.mu.Lock()
 	for address, list := range p.idleConns {
@@ -343,7 +343,7 @@
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBodyBytes))
 		if foreign >= maxForeignResponses || err != nil || n == maxForeignBodyBytes || !reusable(resp) {
-			return nil, errors.WithType(errors.New("response to another request"), ErrCrossed)
+			return nil, errors.WithType(errors.New("response to another request"), ErrForeignResponse)
 		}
 	}
 }
@@ -352,7 +352,7 @@
 func encodeRequest(call *Call) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(call.Body))
-	b.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
+	b.WriteString(call.Method + " " + call.RequestTarget + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
 	for name, values := range call.Header {
 		for _, v := range values {
 			b.WriteString(name)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -16,7 +16,7 @@
 func newTestPool() *Pool { return NewPool(time.Second, time.Second) }
 
 func newGetCall(address string) *Call {
-	return &Call{Address: address, Method: http.MethodGet, Target: "/x?y=%2F", Host: "h", Header: http.Header{"Id": {"1"}},
+	return &Call{Address: address, Method: http.MethodGet, RequestTarget: "/x?y=%2F", Host: "h", Header: http.Header{"Id": {"1"}},
 		IsOwnResponse: func(_ int, h http.Header) bool { return h.Get("Id") == "1" }}
 }
 
@@ -43,7 +43,7 @@
 		must.NoError(t, err)
 		must.Eq(t, "ok", body)
 	}
-	must.Eq(t, 1, p.Opened())
+	must.Eq(t, 1, p.ConnectionsOpened())
 }
 
 func TestPoolSkipsAForeignResponse(t *testing.T) {
@@ -61,7 +61,7 @@
 		_, err := readResponse(t, p, newGetCall(address(url)))
 		must.NoError(t, err)
 	}
-	must.Eq(t, 2, p.Opened())
+	must.Eq(t, 2, p.ConnectionsOpened())
 }
 
 // A GET on a reused connection that the upstream closes without a response is not retried
@@ -110,7 +110,7 @@
 	resp, err := p.Do(context.Background(), newGetCall(address(url)))
 	must.NoError(t, err)
 	_, err = p.Do(context.Background(), newGetCall(address(url)))
-	must.ErrorIs(t, err, ErrBusy)
+	must.ErrorIs(t, err, ErrConnectionLimit)
 	must.NoError(t, resp.Body.Close())
 }
 
@@ -179,7 +179,7 @@
 	p := newTestPool()
 	_, err := readResponse(t, p, newGetCall(address(url)))
 	must.NoError(t, err)
-	p.Sweep(time.Now().Add(time.Minute))
+	p.CloseExpired(time.Now().Add(time.Minute))
 	must.MapEmpty(t, p.idleConns)
 	must.MapEmpty(t, p.openCount)
 }
@@ -239,5 +239,5 @@
 	call.Withhold = func() bool { return false }
 	_, err = readResponse(t, p, call)
 	must.NoError(t, err)
-	must.Eq(t, 1, p.Opened(), must.Sprint("connections"))
+	must.Eq(t, 1, p.ConnectionsOpened(), must.Sprint("connections"))
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -24,9 +24,9 @@
 	ErrNotSent = errors.ConstError("upstream: not sent")
 	// ErrUnknown means that bytes may have been sent and no complete response was received.
 	ErrUnknown = errors.ConstError("upstream: outcome unknown")
-	// ErrCrossed means that the response belongs to another request. The connection is closed,
+	// ErrForeignResponse means that the response belongs to another request. The connection is closed,
 	// and the outcome of this request is unknown.
-	ErrCrossed = errors.ConstError("upstream: response to another request")
+	ErrForeignResponse = errors.ConstError("upstream: response to another request")
 	// ErrTooLarge means that the response exceeds the limit; the request has run.
 	ErrTooLarge = errors.ConstError("upstream: response too large")
 )
@@ -90,8 +90,8 @@
 	return body, nil
 }
 
-// Detached returns a context that ends after its own timeout but not with ctx, for work that
+// DetachedContext returns a context that ends after its own timeout but not with ctx, for work that
 // must be finished after the caller has disconnected.
-func Detached(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+func DetachedContext(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(ctx), timeout)
 }
