--- a/cmd/pearlanding/front.go
+++ b/cmd/pearlanding/front.go
@@ -52,7 +52,7 @@
 	go watchSettings(ctx, file, &current, log)
 	set := metrics.NewSet()
 	set.GetOrCreateGauge("pearlanding_log_lines_dropped", func() float64 { return float64(out.Dropped()) })
-	d := &front.Daemon{Settings: func() front.Settings { return *current.Load() }, Platform: platform.Outside(s), Log: log,
+	d := &front.Daemon{Settings: func() front.Settings { return *current.Load() }, Platform: platform.Adapters(s), Log: log,
 		Metrics: set, MetricsAddress: metricsAddress}
 	if err := d.Run(ctx); err != nil {
 		log.Error("ended", zap.Error(err))
