--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -221,7 +221,7 @@
 	}
 }
 
-// observeEvidence keeps the evidence of the latest epoch with the latest Ready time. A
+// observeEvidence keeps the evidence of the latest epoch with the latest ReadyAt. A
 // report of a prober that can't reach a member is ignored while the report of another
 // prober that saw the whole group ready is fresh. Leaving members and ended epochs are
 // taken from any prober.
--- a/internal/dispatch/retryafter.go
+++ b/internal/dispatch/retryafter.go
@@ -7,14 +7,14 @@
 
 // Reasons of refusals.
 const (
-	// Elsewhere: this daemon can't remove the cause itself; another daemon, to which a retry goes,
+	// TryAnotherDaemon: this daemon can't remove the cause itself; another daemon, to which a retry goes,
 	// may serve the request at once.
 	TryAnotherDaemon RefusalReason = iota
-	// Busy: the upstreams that were tried are full or gone.
+	// UpstreamsBusy: the upstreams that were tried are full or gone.
 	UpstreamsBusy
 	// Overload: all replicas have queues.
 	Overload
-	// Starting: this daemon has just started and has no configuration yet. Callers reach such a
+	// DaemonStarting: this daemon has just started and has no configuration yet. Callers reach such a
 	// daemon while most daemons of its zone start or have just stopped, so another daemon is
 	// no better.
 	DaemonStarting
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -116,7 +116,7 @@
 	// Lapsed: the instance may still serve. It was ready in its group and not draining, and its
 	// entry was removed at most lapsedMemberTimeout ago; for a head it also ends at HeadGraceEnd.
 	Lapsed bool
-	// Leads: the instance is a lapsed head that may be sent requests, until HeadGraceEnd.
+	// InHeadGrace: the instance is a lapsed head that may be sent requests, until HeadGraceEnd.
 	InHeadGrace  bool
 	HeadGraceEnd time.Time
 }
--- a/internal/fleet/known_state.go
+++ b/internal/fleet/known_state.go
@@ -113,7 +113,7 @@
 }
 
 // startHeadGrace lets a head whose entry lapsed while its group was open get requests until
-// LeadsFor after provedAt: an engine cut off from the store keeps serving. Instances that leave may
+// LapsedHeadGrace after provedAt: an engine cut off from the store keeps serving. Instances that leave may
 // be sent requests for a few seconds anyway, and a dead one is detected by its streams and by
 // probes.
 func (b *KnownState) startHeadGrace(id string, provedAt, now time.Time) {
--- a/internal/formation/probe.go
+++ b/internal/formation/probe.go
@@ -18,7 +18,7 @@
 // Prober checks whether instances are alive.
 type Prober interface {
 	// Probe returns nil if the instance answered in the incarnation of in. It returns
-	// ErrAnotherLife if a later incarnation answered.
+	// ErrOtherIncarnation if a later incarnation answered.
 	Probe(ctx context.Context, in *fleet.Instance) error
 }
 
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -33,8 +33,8 @@
 }
 
 // ProblemError is a problem that the daemon answered with, and its details by code:
-// Findings with CodeInvalid, Conflicts with CodeConflict for a configuration change,
-// ChangeID with CodeUnknownWrite.
+// Findings with CodeInvalidConfiguration, Conflicts with CodeConflict for a configuration change,
+// ChangeID with CodeWriteOutcomeUnknown.
 type ProblemError struct {
 	problem.Problem
 	Findings  []findings.Finding `json:"-"`
--- a/internal/quarantine/operator.go
+++ b/internal/quarantine/operator.go
@@ -13,7 +13,7 @@
 
 // Errors of Release. Compare with errors.Is.
 const (
-	// ErrNotRefused: no quarantined content has a digest with this prefix; nothing was changed.
+	// ErrNotQuarantined: no quarantined content has a digest with this prefix; nothing was changed.
 	ErrNotQuarantined = errors.ConstError("no quarantined request has this digest")
 	// ErrAmbiguous: several quarantined contents have a digest with this prefix; nothing was
 	// changed.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -118,7 +118,7 @@
 	// OnConfigProof is called with a version of the configuration's object and a time at which the
 	// object had that version.
 	OnConfigProof func(version uint64, proved time.Time)
-	// Returned, if set, is called when this daemon begins to use a relay, be it a lost one that
+	// OnRelayUsed, if set, is called when this daemon begins to use a relay, be it a lost one that
 	// answers again or another one: such a relay should reach the store.
 	OnRelayUsed func()
 	// Traffic connects this daemon's requests to what the zone shares.
@@ -127,7 +127,7 @@
 	Gate *backpressure.Gate
 	// Quarantine is what this daemon knows of requests that crash instances; nil: nothing.
 	Quarantine Quarantine
-	// Listed, if set, is called with each listing of the records of all zones.
+	// OnRecordsListed, if set, is called with each listing of the records of all zones.
 	OnRecordsListed func(l objectapi.Listing)
 	// Bootstrap is set if all daemons start together, so that no zone has a relay yet.
 	Bootstrap bool
--- a/internal/relay/stalled.go
+++ b/internal/relay/stalled.go
@@ -80,7 +80,7 @@
 	Ask        func(ctx context.Context, address string) (StalledReply, error)
 	Active     func() bool // reports whether surveys are needed now
 	Now        func() time.Time
-	// News, if set, is signalled when a survey finds an instance that the previous survey did not.
+	// NewStalls, if set, is signalled when a survey finds an instance that the previous survey did not.
 	NewStalls chan<- struct{}
 
 	mu      sync.Mutex
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -156,7 +156,7 @@
 }
 
 // Probe opens a connection to an address and keeps it for the next request. The error is
-// ErrBusy, or ErrNotSent together with the dialer's error, such as syscall.ECONNREFUSED if
+// ErrConnectionLimit, or ErrNotSent together with the dialer's error, such as syscall.ECONNREFUSED if
 // nothing listens there.
 func (p *Pool) Probe(ctx context.Context, address string) error {
 	if !p.reserveSlot(address) {
