--- a/internal/formation/manager.go
+++ b/internal/formation/manager.go
@@ -29,13 +29,13 @@
 	View        func() *fleet.View
 	ViewChanged <-chan struct{} // signaled after the view changed
 	// ViewConfirmedAt returns when the call was sent that last confirmed the view as current.
-	// Refresh requests a full listing.
+	// RefreshView requests a full listing.
 	ViewConfirmedAt func() time.Time
 	RefreshView     func()
 	RoutingTable    func() *routes.Table
 	Prober          Prober
-	// BeforeFirstRequest reports whether this daemon has received no request yet. Window is the period
-	// over which loads from the weight store are limited.
+	// BeforeFirstRequest reports whether this daemon has received no request yet. LoadWindow is
+	// the period over which loads from the weight store are limited.
 	BeforeFirstRequest func() bool
 	LoadWindow         func() time.Duration
 	// IsRelay reports whether this daemon relays the instances to the other daemons of its
--- a/internal/group/evidence.go
+++ b/internal/group/evidence.go
@@ -54,7 +54,7 @@
 	return p
 }
 
-// Evidence is one prober's report on one epoch of a group. Ready is the latest time
+// Evidence is one prober's report on one epoch of a group. ReadyAt is the latest time
 // at which all members are known to have been ready at this epoch with the recorded
 // boot ids, zero if they are not. It is sent to other daemons as an age because their
 // clocks differ.
