--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -120,10 +120,10 @@
 	survey        *relay.StallSurvey
 	stallFound    chan struct{} // receives a value when the survey found a stalled instance
 	lease         *formation.Lease
-	watch         *quarantine.Detector
+	detector      *quarantine.Detector
 	gate          *backpressure.Gate
 	loadReporters atomic.Int64 // number of daemons in the last report of loads
-	keeper        *quarantine.Persister
+	persister     *quarantine.Persister
 	stopping      atomic.Bool
 	startedAt     time.Time
 	// refusedLoaded is true once this process has read the store's record of refused requests or
@@ -254,7 +254,7 @@
 	run(work, d.instances.Run)
 	run(work, d.sweep)
 	run(work, func(ctx context.Context) { d.calls.logCounts(ctx, d.Log) })
-	run(work, d.keeper.Run)
+	run(work, d.persister.Run)
 	run(work, d.forwardEvidence)
 	run(work, d.logSuspensions)
 	if d.survey != nil {
@@ -306,7 +306,7 @@
 		now := d.Clock.Now()
 		d.pool.CloseExpired(now)
 		d.picker.Sweep(d.runClock.Now())
-		d.watch.Prune()
+		d.detector.Prune()
 		d.gate.Sweep(now)
 	}
 }
@@ -314,7 +314,7 @@
 func (d *Daemon) newGateway() *gateway.Gateway {
 	return &gateway.Gateway{
 		Codec: d.Platform.Codec, Config: d.config.Current, View: d.instances.View, Limits: d.bounds,
-		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Quarantine: d.watch, Gate: d.gate, Clock: d.Clock, RunClock: d.runClock, BorrowRetry: d.borrow, CanBorrowRetry: d.mayBorrow, Starting: d.startingUp, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
+		Stopping: d.stopping.Load, Pool: d.pool, Picker: d.picker, Budgets: &d.budgets, Quarantine: d.detector, Gate: d.gate, Clock: d.Clock, RunClock: d.runClock, BorrowRetry: d.borrow, CanBorrowRetry: d.mayBorrow, Starting: d.startingUp, Metrics: gateway.NewMetrics(d.Metrics), Log: d.Log,
 	}
 }
 
--- a/internal/front/peers.go
+++ b/internal/front/peers.go
@@ -102,7 +102,7 @@
 		Peers: d.peers, MustFollowStore: d.planning, OnConfigProof: d.config.confirm, OnRelayUsed: d.config.storeRecovered,
 		StaleAfter:       func() time.Duration { return d.drainShare(staleShare, defaultStaleAfter) },
 		StalledInstances: d.stalledOrEndedHeads,
-		Bootstrap:        s.Bootstrap, Quarantine: d.watch, Gate: d.gate, OnRecordsListed: d.takeRelayListing,
+		Bootstrap:        s.Bootstrap, Quarantine: d.detector, Gate: d.gate, OnRecordsListed: d.takeRelayListing,
 		Uniform: d.uniform, Now: d.Clock.Now, Log: d.Log,
 	})
 }
@@ -110,7 +110,7 @@
 // stalledOrEndedHeads lists the heads that this daemon's streams show to be stalled or to have
 // ended: a process that ends breaks its streams off, and none of them stalls.
 func (d *Daemon) stalledOrEndedHeads(time.Time) []string {
-	out := append(d.picker.RecentlyStalled(d.runClock.Now()), d.watch.RecentlyCrashed()...)
+	out := append(d.picker.RecentlyStalled(d.runClock.Now()), d.detector.RecentlyCrashed()...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
--- a/internal/front/quarantine.go
+++ b/internal/front/quarantine.go
@@ -13,13 +13,13 @@
 // being repeated.
 func (d *Daemon) buildQuarantine(s Settings) {
 	evidence := quarantine.NewEvidence()
-	d.watch = quarantine.NewDetector(evidence, d.pool.Probe, d.Clock.Now, d.Log)
-	d.keeper = &quarantine.Persister{
-		Feed: d.Platform.Feed, Key: RefusedRequestsKey, Detector: d.watch, Standalone: s.PeerAddress == "",
+	d.detector = quarantine.NewDetector(evidence, d.pool.Probe, d.Clock.Now, d.Log)
+	d.persister = &quarantine.Persister{
+		Feed: d.Platform.Feed, Key: RefusedRequestsKey, Detector: d.detector, Standalone: s.PeerAddress == "",
 		IsWriter: func() bool { return d.relay == nil || d.relay.IsRelay() || d.relay.RelayUnresponsive() },
 		Uniform:  d.uniform, WallClock: d.Clock.Now, Log: d.Log, Wake: make(chan struct{}, 1),
 	}
-	d.Metrics.GetOrCreateGauge("pearlanding_instances_ended", func() float64 { return float64(d.watch.Crashes()) })
+	d.Metrics.GetOrCreateGauge("pearlanding_instances_ended", func() float64 { return float64(d.detector.Crashes()) })
 	d.Metrics.GetOrCreateGauge("pearlanding_contents_marked", func() float64 { marked, _ := evidence.Counts(); return float64(marked) })
 	d.Metrics.GetOrCreateGauge("pearlanding_contents_refused", func() float64 { _, refused := evidence.Counts(); return float64(refused) })
 }
@@ -31,7 +31,7 @@
 	if i < 0 {
 		return
 	}
-	if err := d.keeper.Load(l.Objects[i].Value); err != nil {
+	if err := d.persister.Load(l.Objects[i].Value); err != nil {
 		d.Log.Error("cannot decode refused requests in the store", zap.String("decision", "keep_what_is_known"), zap.Error(err))
 	}
 }
@@ -43,12 +43,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.watch.Evidence.Changed():
+		case <-d.detector.Evidence.Changed():
 			if d.relay != nil {
 				d.relay.SyncNow()
 			}
 			select {
-			case d.keeper.Wake <- struct{}{}:
+			case d.persister.Wake <- struct{}{}:
 			default:
 			}
 		}
